--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -3,8 +3,8 @@
 #include <chrono>
 #include <thread>
 
-#include "core/constants.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "core/actions.h"
+#include "core/engine/actions.h"
 #include "http/client.h"
 
 namespace sorrelwood {
--- a/src/app/threads.h
+++ b/src/concurrency/threads.h
@@ -10,7 +10,7 @@
 #include <mutex>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -10,7 +10,7 @@
 #include <set>
 #include <sstream>
 
-#include "core/constants.h"
+#include "base/constants.h"
 #include "http/endpoint.h"
 #include "operator.pb.h"
 
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/core/front_desk.cc
+++ b/src/core/api/front_desk.cc
@@ -1,11 +1,11 @@
-#include "core/front_desk.h"
+#include "core/api/front_desk.h"
 
 #include <algorithm>
 #include <set>
 
-#include "core/constants.h"
-#include "core/keys.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/coordination/keys.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/core/front_desk.h
+++ b/src/core/api/front_desk.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/directory.h"
-#include "core/state_limits.h"
+#include "core/coordination/directory.h"
+#include "core/coordination/state_limits.h"
+#include "core/engine/context.h"
 
 namespace sorrelwood {
 
--- a/src/core/fleet.cc
+++ b/src/core/autoscaling/fleet.cc
@@ -1,13 +1,13 @@
-#include "core/fleet.h"
+#include "core/autoscaling/fleet.h"
 
 #include <algorithm>
 #include <cmath>
 #include <tuple>
 #include <utility>
 
-#include "core/constants.h"
-#include "core/keys.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/coordination/keys.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 
--- a/src/core/fleet.h
+++ b/src/core/autoscaling/fleet.h
@@ -8,12 +8,12 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/job_table.h"
-#include "core/machine_table.h"
-#include "core/placement.h"
-#include "core/state_limits.h"
-#include "core/writer.h"
+#include "core/coordination/state_limits.h"
+#include "core/coordination/writer.h"
+#include "core/engine/context.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
--- a/src/balance/bounded_placement.cc
+++ b/src/core/balance/bounded_placement.cc
@@ -1,6 +1,6 @@
-#include "balance/bounded_placement.h"
+#include "core/balance/bounded_placement.h"
 
-#include "balance/image_affinity.h"
+#include "core/balance/image_affinity.h"
 
 namespace sorrelwood {
 
--- a/src/balance/bounded_placement.h
+++ b/src/core/balance/bounded_placement.h
@@ -4,9 +4,9 @@
 
 #include <cstdint>
 
-#include "balance/load_bounds.h"
-#include "balance/spread_settings.h"
-#include "core/placement.h"
+#include "core/balance/load_bounds.h"
+#include "core/model/spread_settings.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
--- a/src/balance/image_affinity.cc
+++ b/src/core/balance/image_affinity.cc
@@ -1,4 +1,4 @@
-#include "balance/image_affinity.h"
+#include "core/balance/image_affinity.h"
 
 #include <xxhash.h>
 
--- a/src/balance/imbalance.cc
+++ b/src/core/balance/imbalance.cc
@@ -1,8 +1,8 @@
-#include "balance/imbalance.h"
+#include "core/balance/imbalance.h"
 
 #include <algorithm>
 
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/balance/imbalance.h
+++ b/src/core/balance/imbalance.h
@@ -7,8 +7,8 @@
 #include <tuple>
 #include <vector>
 
-#include "balance/load_bounds.h"
-#include "core/machine_table.h"
+#include "core/balance/load_bounds.h"
+#include "core/machines/machine_table.h"
 
 namespace sorrelwood {
 
--- a/src/balance/load_bounds.cc
+++ b/src/core/balance/load_bounds.cc
@@ -1,8 +1,8 @@
-#include "balance/load_bounds.h"
+#include "core/balance/load_bounds.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/balance/load_bounds.h
+++ b/src/core/balance/load_bounds.h
@@ -6,9 +6,9 @@
 #include <map>
 #include <string>
 
-#include "balance/spread_settings.h"
-#include "core/job_table.h"
-#include "core/machine_table.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
+#include "core/model/spread_settings.h"
 
 namespace sorrelwood {
 
--- a/src/balance/machine_sets.cc
+++ b/src/core/balance/machine_sets.cc
@@ -1,8 +1,8 @@
-#include "balance/machine_sets.h"
+#include "core/balance/machine_sets.h"
 
 #include <algorithm>
 
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
--- a/src/balance/machine_sets.h
+++ b/src/core/balance/machine_sets.h
@@ -11,8 +11,8 @@
 #include <tuple>
 #include <vector>
 
-#include "core/machine_table.h"
-#include "core/types.h"
+#include "core/machines/machine_table.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/balance/move_budget.cc
+++ b/src/core/balance/move_budget.cc
@@ -1,4 +1,4 @@
-#include "balance/move_budget.h"
+#include "core/balance/move_budget.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/balance/move_budget.h
+++ b/src/core/balance/move_budget.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "balance/spread_settings.h"
+#include "core/model/spread_settings.h"
 
 namespace sorrelwood {
 
--- a/src/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -1,11 +1,11 @@
-#include "balance/rebalancer.h"
+#include "core/balance/rebalancer.h"
 
 #include <algorithm>
 #include <cstdio>
 #include <utility>
 
-#include "balance/image_affinity.h"
-#include "core/constants.h"
+#include "base/constants.h"
+#include "core/balance/image_affinity.h"
 
 namespace sorrelwood {
 
--- a/src/balance/rebalancer.h
+++ b/src/core/balance/rebalancer.h
@@ -10,16 +10,16 @@
 #include <string>
 #include <vector>
 
-#include "balance/imbalance.h"
-#include "balance/load_bounds.h"
-#include "balance/machine_sets.h"
-#include "balance/move_budget.h"
-#include "balance/speed_tracker.h"
-#include "balance/spread_settings.h"
-#include "core/context.h"
-#include "core/job_table.h"
-#include "core/machine_table.h"
-#include "core/placement.h"
+#include "core/balance/imbalance.h"
+#include "core/balance/load_bounds.h"
+#include "core/balance/machine_sets.h"
+#include "core/balance/move_budget.h"
+#include "core/balance/speed_tracker.h"
+#include "core/engine/context.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
+#include "core/model/spread_settings.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
--- a/src/balance/speed_tracker.cc
+++ b/src/core/balance/speed_tracker.cc
@@ -1,6 +1,6 @@
-#include "balance/speed_tracker.h"
+#include "core/balance/speed_tracker.h"
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/controller.cc
+++ b/src/core/controller/controller.cc
@@ -1,9 +1,9 @@
-#include "core/controller.h"
+#include "core/controller/controller.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/controller.h
+++ b/src/core/controller/controller.h
@@ -7,11 +7,11 @@
 #include <string>
 #include <vector>
 
-#include "core/context.h"
-#include "core/directory.h"
-#include "core/front_desk.h"
-#include "core/leadership.h"
-#include "core/scheduler.h"
+#include "core/api/front_desk.h"
+#include "core/controller/scheduler.h"
+#include "core/coordination/directory.h"
+#include "core/coordination/leadership.h"
+#include "core/engine/context.h"
 
 namespace sorrelwood {
 
--- a/src/core/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -1,13 +1,13 @@
-#include "core/scheduler.h"
+#include "core/controller/scheduler.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <utility>
 
-#include "core/constants.h"
-#include "core/keys.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/coordination/keys.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 
--- a/src/core/directory.h
+++ b/src/core/coordination/directory.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/context.h"
+#include "core/engine/context.h"
 
 namespace sorrelwood {
 
--- a/src/core/leadership.cc
+++ b/src/core/coordination/leadership.cc
@@ -1,10 +1,10 @@
-#include "core/leadership.h"
+#include "core/coordination/leadership.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/keys.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/coordination/keys.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 
--- a/src/core/leadership.h
+++ b/src/core/coordination/leadership.h
@@ -3,9 +3,9 @@
 // are given and the upper half of every attempt number.
 #pragma once
 
-#include "core/constants.h"
-#include "core/context.h"
-#include "core/directory.h"
+#include "base/constants.h"
+#include "core/coordination/directory.h"
+#include "core/engine/context.h"
 
 namespace sorrelwood {
 
--- a/src/core/progress_store.cc
+++ b/src/core/coordination/progress_store.cc
@@ -1,11 +1,11 @@
-#include "core/progress_store.h"
+#include "core/coordination/progress_store.h"
 
 #include <algorithm>
 #include <cstdlib>
 
-#include "core/constants.h"
-#include "core/keys.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/coordination/keys.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 
--- a/src/core/progress_store.h
+++ b/src/core/coordination/progress_store.h
@@ -11,10 +11,10 @@
 #include <set>
 #include <string>
 
-#include "core/interval_set.h"
-#include "core/job_table.h"
-#include "core/state_limits.h"
-#include "core/writer.h"
+#include "base/interval_set.h"
+#include "core/coordination/state_limits.h"
+#include "core/coordination/writer.h"
+#include "core/jobs/job_table.h"
 
 namespace sorrelwood {
 
--- a/src/core/state_limits.cc
+++ b/src/core/coordination/state_limits.cc
@@ -1,8 +1,8 @@
-#include "core/state_limits.h"
+#include "core/coordination/state_limits.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/state_limits.h
+++ b/src/core/coordination/state_limits.h
@@ -5,8 +5,8 @@
 
 #include <cstddef>
 
-#include "core/actions.h"
-#include "core/types.h"
+#include "core/engine/actions.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/core/writer.cc
+++ b/src/core/coordination/writer.cc
@@ -1,9 +1,9 @@
-#include "core/writer.h"
+#include "core/coordination/writer.h"
 
 #include <algorithm>
 
-#include "core/constants.h"
-#include "core/keys.h"
+#include "base/constants.h"
+#include "core/coordination/keys.h"
 
 namespace sorrelwood {
 
--- a/src/core/writer.h
+++ b/src/core/coordination/writer.h
@@ -9,9 +9,9 @@
 #include <set>
 #include <string>
 
-#include "core/context.h"
-#include "core/leadership.h"
-#include "core/state_limits.h"
+#include "core/coordination/leadership.h"
+#include "core/coordination/state_limits.h"
+#include "core/engine/context.h"
 
 namespace sorrelwood {
 
--- a/src/core/actions.h
+++ b/src/core/engine/actions.h
@@ -7,7 +7,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/core/context.h
+++ b/src/core/engine/context.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/actions.h"
+#include "core/engine/actions.h"
 
 namespace sorrelwood {
 
--- a/src/core/job_table.cc
+++ b/src/core/jobs/job_table.cc
@@ -1,9 +1,9 @@
-#include "core/job_table.h"
+#include "core/jobs/job_table.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <vector>
 
-#include "core/constants.h"
-#include "core/interval_set.h"
-#include "core/types.h"
+#include "base/constants.h"
+#include "base/interval_set.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/core/machine_table.cc
+++ b/src/core/machines/machine_table.cc
@@ -1,8 +1,8 @@
-#include "core/machine_table.h"
+#include "core/machines/machine_table.h"
 
 #include <algorithm>
 
-#include "core/job_table.h"
+#include "core/jobs/job_table.h"
 
 namespace sorrelwood {
 
--- a/src/core/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/core/types.h
+++ b/src/core/model/types.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "balance/spread_settings.h"
+#include "core/model/spread_settings.h"
 
 namespace sorrelwood {
 
--- a/src/core/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -1,11 +1,11 @@
-#include "core/placement.h"
+#include "core/scheduling/placement.h"
 
 #include <algorithm>
 #include <map>
 #include <string_view>
 #include <tuple>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/placement.h
+++ b/src/core/scheduling/placement.h
@@ -9,9 +9,9 @@
 #include <tuple>
 #include <vector>
 
-#include "core/context.h"
-#include "core/job_table.h"
-#include "core/machine_table.h"
+#include "core/engine/context.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
 
 namespace sorrelwood {
 
--- a/src/core/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -1,9 +1,9 @@
-#include "core/preemption.h"
+#include "core/scheduling/preemption.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/core/replicas.cc
+++ b/src/core/scheduling/replicas.cc
@@ -1,9 +1,9 @@
-#include "core/replicas.h"
+#include "core/scheduling/replicas.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/replicas.h
+++ b/src/core/scheduling/replicas.h
@@ -4,10 +4,10 @@
 
 #include <cstdint>
 
-#include "core/context.h"
-#include "core/job_table.h"
-#include "core/machine_table.h"
-#include "core/placement.h"
+#include "core/engine/context.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
--- a/src/core/wait_predictor.cc
+++ b/src/core/scheduling/wait_predictor.cc
@@ -1,4 +1,4 @@
-#include "core/wait_predictor.h"
+#include "core/scheduling/wait_predictor.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/core/wait_predictor.h
+++ b/src/core/scheduling/wait_predictor.h
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/core/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -1,4 +1,4 @@
-#include "core/waiting_policy.h"
+#include "core/scheduling/waiting_policy.h"
 
 #include <algorithm>
 #include <set>
--- a/src/core/waiting_policy.h
+++ b/src/core/scheduling/waiting_policy.h
@@ -3,10 +3,10 @@
 // it runs rented to the end. One that has waited b long is rented likewise.
 #pragma once
 
-#include "core/context.h"
-#include "core/job_table.h"
-#include "core/machine_table.h"
-#include "core/wait_predictor.h"
+#include "core/engine/context.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
+#include "core/scheduling/wait_predictor.h"
 
 namespace sorrelwood {
 
--- a/src/core/machine_monitor.cc
+++ b/src/core/workers/machine_monitor.cc
@@ -1,10 +1,10 @@
-#include "core/machine_monitor.h"
+#include "core/workers/machine_monitor.h"
 
 #include <algorithm>
 #include <string>
 #include <utility>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/machine_monitor.h
+++ b/src/core/workers/machine_monitor.h
@@ -6,11 +6,11 @@
 #include <cstdint>
 #include <functional>
 
-#include "core/constants.h"
-#include "core/context.h"
-#include "core/fleet.h"
-#include "core/leadership.h"
-#include "core/machine_table.h"
+#include "base/constants.h"
+#include "core/autoscaling/fleet.h"
+#include "core/coordination/leadership.h"
+#include "core/engine/context.h"
+#include "core/machines/machine_table.h"
 
 namespace sorrelwood {
 
--- a/src/core/unaccounted_machines.cc
+++ b/src/core/workers/unaccounted_machines.cc
@@ -1,8 +1,8 @@
-#include "core/unaccounted_machines.h"
+#include "core/workers/unaccounted_machines.h"
 
 #include <memory>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 
--- a/src/core/unaccounted_machines.h
+++ b/src/core/workers/unaccounted_machines.h
@@ -8,7 +8,7 @@
 #include <set>
 #include <string>
 
-#include "core/machine_table.h"
+#include "core/machines/machine_table.h"
 
 namespace sorrelwood {
 
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -23,7 +23,7 @@
 #include <mutex>
 #include <unordered_map>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/main.cc
+++ b/src/main.cc
@@ -9,9 +9,9 @@
 #include <random>
 #include <string>
 
-#include "app/app.h"
+#include "base/constants.h"
 #include "config/settings.h"
-#include "core/constants.h"
+#include "server/app.h"
 #include "version.h"
 
 namespace sorrelwood {
--- a/src/mesh/mesh.cc
+++ b/src/peer/mesh.cc
@@ -1,4 +1,4 @@
-#include "mesh/mesh.h"
+#include "peer/mesh.h"
 
 #include <arpa/inet.h>
 #include <capnp/message.h>
@@ -14,8 +14,8 @@
 #include <cstring>
 #include <thread>
 
-#include "app/threads.h"
-#include "core/constants.h"
+#include "base/constants.h"
+#include "concurrency/threads.h"
 #include "http/endpoint.h"
 #include "mesh.capnp.h"
 
--- a/src/mesh/mesh.h
+++ b/src/peer/mesh.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/types.h"
+#include "core/model/types.h"
 
 namespace sorrelwood {
 
--- a/src/wire/json.cc
+++ b/src/protocol/json.cc
@@ -1,9 +1,9 @@
-#include "wire/json.h"
+#include "protocol/json.h"
 
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-#include "core/constants.h"
+#include "base/constants.h"
 
 namespace sorrelwood::wire {
 namespace {
--- a/src/wire/json.h
+++ b/src/protocol/json.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "core/actions.h"
-#include "core/types.h"
+#include "core/engine/actions.h"
+#include "core/model/types.h"
 
 namespace sorrelwood::wire {
 
--- a/src/app/app.cc
+++ b/src/server/app.cc
@@ -1,4 +1,4 @@
-#include "app/app.h"
+#include "server/app.h"
 
 #include <spdlog/spdlog.h>
 
@@ -7,11 +7,11 @@
 #include <condition_variable>
 #include <type_traits>
 
+#include "base/constants.h"
 #include "cloud/cloud_client.h"
 #include "config/settings.h"
-#include "core/constants.h"
+#include "protocol/json.h"
 #include "state/state_client.h"
-#include "wire/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/src/app/app.h
+++ b/src/server/app.h
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "app/metrics.h"
-#include "app/threads.h"
-#include "core/controller.h"
+#include "concurrency/threads.h"
+#include "core/controller/controller.h"
 #include "http/server.h"
-#include "mesh/mesh.h"
+#include "peer/mesh.h"
+#include "server/metrics.h"
 
 namespace sorrelwood {
 
--- a/src/app/metrics.cc
+++ b/src/server/metrics.cc
@@ -1,4 +1,4 @@
-#include "app/metrics.h"
+#include "server/metrics.h"
 
 #include <prometheus/text_serializer.h>
 
--- a/src/app/metrics.h
+++ b/src/server/metrics.h
@@ -10,7 +10,7 @@
 #include <mutex>
 #include <string>
 
-#include "core/controller.h"
+#include "core/controller/controller.h"
 
 namespace sorrelwood {
 
--- a/tests/action_digest.cc
+++ b/tests/action_digest.cc
@@ -2,8 +2,8 @@
 
 #include <variant>
 
-#include "mesh/mesh.h"
-#include "wire/json.h"
+#include "peer/mesh.h"
+#include "protocol/json.h"
 
 namespace sorrelwood::test {
 
--- a/tests/action_digest.h
+++ b/tests/action_digest.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <string>
 
-#include "core/actions.h"
+#include "core/engine/actions.h"
 
 namespace sorrelwood::test {
 
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -5,13 +5,13 @@
 #include <memory>
 #include <set>
 
-#include "balance/image_affinity.h"
-#include "balance/imbalance.h"
-#include "balance/load_bounds.h"
-#include "balance/machine_sets.h"
-#include "balance/move_budget.h"
-#include "balance/speed_tracker.h"
 #include "config/settings.h"
+#include "core/balance/image_affinity.h"
+#include "core/balance/imbalance.h"
+#include "core/balance/load_bounds.h"
+#include "core/balance/machine_sets.h"
+#include "core/balance/move_budget.h"
+#include "core/balance/speed_tracker.h"
 
 namespace sorrelwood {
 namespace {
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,13 +1,13 @@
 // The parts of the core, each by itself.
 #include <gtest/gtest.h>
 
+#include "base/constants.h"
+#include "base/interval_set.h"
 #include "config/settings.h"
-#include "core/constants.h"
-#include "core/interval_set.h"
-#include "core/job_table.h"
-#include "core/progress_store.h"
-#include "core/wait_predictor.h"
-#include "mesh/mesh.h"
+#include "core/coordination/progress_store.h"
+#include "core/jobs/job_table.h"
+#include "core/scheduling/wait_predictor.h"
+#include "peer/mesh.h"
 
 namespace sorrelwood {
 namespace {
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -6,12 +6,12 @@
 #include <map>
 #include <set>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/keys.h"
-#include "core/writer.h"
+#include "base/constants.h"
+#include "core/controller/controller.h"
+#include "core/coordination/keys.h"
+#include "core/coordination/writer.h"
+#include "protocol/json.h"
 #include "scripted_leader.h"
-#include "wire/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/tests/loopback/worker.cc
+++ b/tests/loopback/worker.cc
@@ -3,7 +3,7 @@
 #include <chrono>
 
 #include "http/endpoint.h"
-#include "wire/json.h"
+#include "protocol/json.h"
 
 namespace sorrelwood::test {
 namespace {
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -12,10 +12,10 @@
 #include <utility>
 #include <vector>
 
-#include "core/constants.h"
-#include "core/controller.h"
-#include "core/keys.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/controller/controller.h"
+#include "core/coordination/keys.h"
+#include "protocol/json.h"
 
 namespace sorrelwood::test {
 
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -1,17 +1,17 @@
 // What happens when the state service lowers its limits.
-#include "core/state_limits.h"
+#include "core/coordination/state_limits.h"
 
 #include <gtest/gtest.h>
 
 #include <map>
 #include <set>
 
-#include "core/constants.h"
-#include "core/front_desk.h"
-#include "core/keys.h"
-#include "core/progress_store.h"
-#include "core/writer.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "core/api/front_desk.h"
+#include "core/coordination/keys.h"
+#include "core/coordination/progress_store.h"
+#include "core/coordination/writer.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "mesh/mesh.h"
-#include "wire/json.h"
+#include "peer/mesh.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -4,7 +4,7 @@
 #include <set>
 #include <string>
 
-#include "wire/json.h"
+#include "protocol/json.h"
 
 namespace sorrelwood {
 namespace {
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -7,8 +7,8 @@
 #include <type_traits>
 #include <utility>
 
-#include "core/constants.h"
-#include "wire/json.h"
+#include "base/constants.h"
+#include "protocol/json.h"
 
 namespace sorrelwood::test {
 namespace {
--- a/tests/world.h
+++ b/tests/world.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "action_digest.h"
-#include "core/controller.h"
+#include "core/controller/controller.h"
 
 namespace sorrelwood::test {
 
