--- a/tests/action_digest.cc
+++ b/tests/action_digest.cc
@@ -14,18 +14,12 @@
   std::visit([this](const auto& item) { Take(item); }, action);
 }
 
-void ActionDigest::Bytes(const void* data, size_t size) {
-  constexpr uint64_t kPrime = 1099511628211ULL;
-  const auto* bytes = static_cast<const unsigned char*>(data);
-  for (size_t i = 0; i < size; ++i) hash_ = (hash_ ^ bytes[i]) * kPrime;
-}
-
 void ActionDigest::Text(const std::string& text) {
   Count(text.size());
-  Bytes(text.data(), text.size());
+  hash_.Add(text.data(), text.size());
 }
 
-void ActionDigest::Number(double number) { Bytes(&number, sizeof(number)); }
+void ActionDigest::Number(double number) { hash_.Add(&number, sizeof(number)); }
 
 void ActionDigest::Take(const StateTransaction& action) {
   Count(action.id);
--- a/tests/action_digest.h
+++ b/tests/action_digest.h
@@ -6,6 +6,7 @@
 #include <string>
 
 #include "core/engine/actions.h"
+#include "fnv_hash.h"
 
 namespace sorrelwood::test {
 
@@ -13,16 +14,15 @@
  public:
   // Takes in one action, as the node `node` returned it.
   void Add(int node, const Action& action);
-  uint64_t value() const { return hash_; }
+  uint64_t value() const { return hash_.value(); }
 
  private:
   void Text(const std::string& text);
   void Number(double number);
   template <typename Integer>
   void Count(Integer number) {
-    Bytes(&number, sizeof(number));
+    hash_.Add(&number, sizeof(number));
   }
-  void Bytes(const void* data, size_t size);
 
   void Take(const StateTransaction& action);
   void Take(const StateGet& action);
@@ -39,9 +39,9 @@
   void Take(const AnswerUser& action);
   void Take(const AnswerWorker& action);
   void Take(const MeshSend& action);
-  void Take(const LogLine&) {}  // wording may change
+  void Take(const LogLine&) {}  // LogSummary counts them
 
-  uint64_t hash_ = 14695981039346656037ULL;  // FNV-1a, 64 bits
+  FnvHash hash_;
 };
 
 }  // namespace sorrelwood::test
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -539,6 +539,7 @@
   ++node.life;
   node.controller =
       std::make_unique<Controller>(settings, options_.policy, rng_());
+  node.controller->set_debug(options_.debug_log);
   node.up = true;
   TickNode(index, node.life);
 }
@@ -629,6 +630,7 @@
   for (Action& action : actions) {
     digest_.Add(index, action);
     if (auto* line = std::get_if<LogLine>(&action)) {
+      log_summary_.Add(index, *line);
       const std::string& text = line->text;
       const size_t colon = text.find(": it is faulty");
       if (colon == std::string::npos) continue;
--- a/tests/world.h
+++ b/tests/world.h
@@ -14,6 +14,7 @@
 
 #include "action_digest.h"
 #include "core/controller/controller.h"
+#include "log_summary.h"
 
 namespace sorrelwood::test {
 
@@ -69,6 +70,7 @@
   double fleet_scale = 1;  // of its machines, limits and rates
   size_t check_every = 1;  // steps between two looks at all machines
   PolicySettings policy;
+  bool debug_log = false;  // the cores write debug lines too
   // A hot team: besides the jobs so many arrays of 12 long tasks, each saving
   // its progress, come within `burst_for_s`.
   int burst_jobs = 0;
@@ -195,6 +197,7 @@
   int refused_odd_jobs() const { return refused_odd_jobs_; }
   // Of all actions of all nodes so far.
   uint64_t digest() const { return digest_.value(); }
+  const LogSummary& log_summary() const { return log_summary_; }
 
  private:
   struct Node;
@@ -388,6 +391,7 @@
   Rebalancer::Figures last_moves_;
   std::set<uint64_t> terms_seen_;
   ActionDigest digest_;
+  LogSummary log_summary_;
   int spins_ = 0, refused_for_size_ = 0, refused_for_rate_ = 0;
   double change_tokens_ = 0, change_tokens_at_ = 0;
   std::map<std::string, int> too_large_;  // refusals of one value, by its text
