--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -1,6 +1,6 @@
-// Every tuning constant of sorrelwood, with its unit and its reason. Figures of
-// a cluster (machine types, leases, rates) never stand here: they come from the
-// settings file and the cloud's catalogue.
+// Every tuning constant of sorrelwood, with its unit and its reason. Statistics
+// of a cluster (machine types, leases, rates) never stand here: they come from
+// the settings file and the cloud's catalogue.
 #pragma once
 
 #include <cstddef>
@@ -12,41 +12,42 @@
 // Steady clocks drift by up to 0.05 % each; two of them, doubled for safety.
 inline constexpr double kClockDrift = 0.002;
 
-// --- Leadership (seconds) ----------------------------------------------------
-// Long enough to ride out a slow answer of the state service, short enough that
-// a takeover ends well within the workers' lease.
+// --- LeaderElection (seconds)
+// ---------------------------------------------------- Long enough to ride out
+// a slow answer of the state service, short enough that a takeover ends well
+// within the workers' lease.
 inline constexpr double kLeaderLeaseS = 4.0;
-inline constexpr double kRenewEveryS = 0.9;
+inline constexpr double kLeaderLeaseRenewIntervalS = 0.9;
 // No launch leaves when less than this is left of the leader's lease.
-inline constexpr double kLeaseMarginS = 0.6;
+inline constexpr double kDispatchLeaseMarginS = 0.6;
 // Nor when its last look at the jobs is so old (s): one watch that ended, the
 // next one under way, and a second for a slow answer.
-inline constexpr double kLaunchLookS = 5.0;
+inline constexpr double kDispatchMaxCacheAgeS = 5.0;
 // Pause between two tries for the leader key.
 inline constexpr double kElectionRetryS = 0.4;
 // A leader that hears less than this share of its machines, of at least so
 // many, leaves the lead to others, who have this long (s) to take it; and how
 // often at most (s).
-inline constexpr double kAbdicateHeardShare = 0.35;
-inline constexpr int kAbdicateMachines = 3;
+inline constexpr double kResignReachableShare = 0.35;
+inline constexpr int kResignMinMachines = 3;
 // Of so many it leaves after so many report intervals if it hears less than
 // this share of them: each should have reported twice.
-inline constexpr int kAbdicateSoonMachines = 10;
-inline constexpr double kAbdicateSoonReports = 2.5;
-inline constexpr double kAbdicateSoonShare = 0.05;
-inline constexpr double kAbdicatePauseS = 8.0;
-inline constexpr double kAbdicateEveryS = 90.0;
+inline constexpr int kFastResignMinMachines = 10;
+inline constexpr double kFastResignHeartbeats = 2.5;
+inline constexpr double kFastResignReachableShare = 0.05;
+inline constexpr double kResignPauseS = 8.0;
+inline constexpr double kResignIntervalS = 90.0;
 // For that long it lets the others go first in an election by so much (s): two
 // or three of their tries.
-inline constexpr double kShyPauseS = 2.0;
+inline constexpr double kResignedElectionDelayS = 2.0;
 // The core is woken every kTickS: a gap of so long (s) between two inputs means
 // that the process stood still, and heard nobody meanwhile.
-inline constexpr double kStallS = 1.0;
+inline constexpr double kProcessPauseThresholdS = 1.0;
 // Margin by which report answers stop before the reach that a successor counts
 // on ends; covers a slow thread and the network.
-inline constexpr double kReachMarginS = 2.0;
+inline constexpr double kWorkerLeaseMarginS = 2.0;
 // A worker drops answers that take longer than this (protocol).
-inline constexpr double kReportAnswerS = 4.0;
+inline constexpr double kHeartbeatAnswerTimeoutS = 4.0;
 
 // --- State service
 // ------------------------------------------------------------- Wait for one
@@ -72,23 +73,23 @@
 inline constexpr double kFinishBatchS = 0.25;
 // Share of the state service's write rate that one leader uses; the rest is for
 // submissions and cancellations.
-inline constexpr double kWriteShare = 0.65;
+inline constexpr double kLeaderWriteShare = 0.65;
 // Pause after a write that did not get through (s).
 inline constexpr double kWriteRetryS = 0.3;
 // Bytes of values in one transaction: half of the protocol's 64 KiB, which also
-// has to hold keys, guards and quoting.
-inline constexpr size_t kMostWriteBytes = size_t{32} * 1024;
+// has to hold keys, preconditions and quoting.
+inline constexpr size_t kMaxWriteBytes = size_t{32} * 1024;
 // Tasks whose completion one key holds: 16,384 bits are 4 KiB as hexadecimal.
-inline constexpr uint32_t kTasksPerProgressKey = 16384;
+inline constexpr uint32_t kTasksPerCompletionRecord = 16384;
 // Where that is more than a value may hold, a part of them has a key of its
 // own: at most so many tasks, 1 KiB, and at least so many. Around the bits such
 // a record takes so many bytes at most.
-inline constexpr uint32_t kMostTasksPerProgressPart = 4096;
-inline constexpr uint32_t kLeastTasksPerProgressPart = 64;
-inline constexpr size_t kProgressPartOverhead = 64;
+inline constexpr uint32_t kMaxTasksPerCompletionPart = 4096;
+inline constexpr uint32_t kMinTasksPerCompletionPart = 64;
+inline constexpr size_t kCompletionPartOverheadBytes = 64;
 inline constexpr uint32_t kTasksPerHexDigit = 4;
 // Conditions that a transaction may have for each change (protocol).
-inline constexpr size_t kGuardsPerChange = 4;
+inline constexpr size_t kPreconditionsPerMutation = 4;
 // Bytes of a rental's record besides the machines' names, and of one name.
 inline constexpr size_t kRentRecordBytes = 320;
 inline constexpr size_t kMachineNameBytes = 24;
@@ -117,7 +118,7 @@
 inline constexpr size_t kMaxQueuedInputs = 150;
 inline constexpr size_t kWorkersPerQueuedInput = 8;
 // Final states kept in memory; older ones are read again when asked for.
-inline constexpr size_t kFinalCache = 20000;
+inline constexpr size_t kFinalStateCacheSize = 20000;
 inline constexpr uint32_t kMaxTasks = 100000;
 inline constexpr size_t kMaxBody = size_t{64} * 1024;
 inline constexpr size_t kMaxIdLength = 100;
@@ -125,46 +126,46 @@
 // --- Workers
 // --------------------------------------------------------------------- Pause
 // before a new leader reads its records again after a failure (s).
-inline constexpr double kReloadPauseS = 0.3;
+inline constexpr double kRecoveryRetryS = 0.3;
 // A machine is called silent after this many report intervals.
-inline constexpr double kSilentReports = 4.5;
+inline constexpr double kSilentHeartbeats = 4.5;
 // At most this share of the machines is released early for silence: beyond it
 // the fault is more likely the leader's own network.
-inline constexpr double kEarlyReleaseShare = 0.34;
+inline constexpr double kEarlyReleaseMaxShare = 0.34;
 // Extra silence (s) after a lease has run out before the machine is returned.
-inline constexpr double kLostReturnS = 3.0;
+inline constexpr double kUnreachableReleaseDelayS = 3.0;
 // A silent machine is shown the token directly this often (s).
-inline constexpr double kPushEveryS = 1.0;
+inline constexpr double kPushIntervalS = 1.0;
 // Wait for the answer to a direct command (s).
-inline constexpr double kDirectTimeoutS = 1.5;
+inline constexpr double kPushTimeoutS = 1.5;
 // Report intervals after a takeover within which a machine in reach has shown
 // the new token: its next report, the one that the token makes it send at once,
 // and some to spare. After that it is shown the token directly.
-inline constexpr double kTakeoverReports = 2.0;
+inline constexpr double kFailoverHeartbeats = 2.0;
 // A share of the machines so small may be returned for being the last that hold
 // up what was taken over.
-inline constexpr double kHoldUpShare = 0.05;
+inline constexpr double kBlockingMachineShare = 0.05;
 // CPUs and GPUs that a machine of a type that is not known yet may hold.
 inline constexpr double kUnknownTypeCpus = 1e9;
 // What sets a machine aside when nothing has completed there since: so many
 // errors of jobs that succeed elsewhere, or errors of so many jobs that have
 // succeeded nowhere yet.
-inline constexpr int kSickErrors = 2;
-inline constexpr size_t kSickJobs = 3;
+inline constexpr int kQuarantineErrors = 2;
+inline constexpr size_t kQuarantineFailingJobs = 3;
 // A job that has succeeded nowhere and failed on so many machines is tried one
 // task at a time; on so many it is held to be at fault, and no machine is.
-inline constexpr size_t kSuspectJobMachines = 2;
-inline constexpr size_t kBadJobMachines = 3;
+inline constexpr size_t kFailingJobMachines = 2;
+inline constexpr size_t kBrokenJobMachines = 3;
 // Machines on which one task fails while its job succeeds before the task is
 // held to be at fault.
-inline constexpr int kBadTaskErrors = 3;
+inline constexpr int kBrokenTaskErrors = 3;
 // First and longest pause of a job whose tasks fail (s), and how long it keeps
 // off the machines that it failed on.
-inline constexpr double kErrorPauseS = 2.0;
-inline constexpr double kErrorPauseMaxS = 60.0;
-inline constexpr double kErrorAvoidS = 20.0;
+inline constexpr double kJobRetryPauseS = 2.0;
+inline constexpr double kJobRetryPauseMaxS = 60.0;
+inline constexpr double kSuspectMachineAvoidS = 20.0;
 // A machine that refused a task for want of room is left alone this long (s).
-inline constexpr double kRefusedPauseS = 3.0;
+inline constexpr double kRefusedStartPauseS = 3.0;
 
 // --- Placement
 // --------------------------------------------------------------------- How
@@ -197,12 +198,12 @@
 // so long (s), and the room holds those of one boot and so many jobs more.
 inline constexpr double kArrivalWindowS = 60.0;
 inline constexpr double kLeastArrivalSpanS = 20.0;
-inline constexpr double kStandbyJobs = 2.0;
+inline constexpr double kHeadroomJobs = 2.0;
 // None is kept for a class of which nothing has come for so long (s).
-inline constexpr double kStandbyMemoryS = 600.0;
+inline constexpr double kHeadroomMemoryS = 600.0;
 // A class that is to start at once and of which nothing has come yet may need
 // any machine: so many of the cheapest ordinary ones are kept, spread.
-inline constexpr double kUnseenStandbyMachines = 6.0;
+inline constexpr double kUnseenClassHeadroomMachines = 6.0;
 inline constexpr size_t kMostArrivals = 200;  // remembered of a class
 // How often tasks are stopped for waiting replicas (s).
 inline constexpr double kPreemptEveryS = 0.5;
@@ -221,7 +222,7 @@
 
 // A class whose tasks are to start within this time (s) has room kept free for
 // some of its usual jobs; no more than this share of all such room.
-inline constexpr double kReserveWithinS = 10.0;
+inline constexpr double kImmediateStartWithinS = 10.0;
 // Work that has waited for so long (s) may use the room kept for services,
 // which may stop it again.
 inline constexpr double kReserveYieldS = 30.0;
@@ -279,7 +280,7 @@
 inline constexpr double kDearBoots = 1.0;
 // Room that is kept beyond the work there is before dearer machines are
 // emptied.
-inline constexpr double kSurplusMargin = 1.0;
+inline constexpr double kExcessMargin = 1.0;
 // Emptying a machine: the longest time to save (s) that is worth it, the free
 // room elsewhere as a multiple of what moves, the share of an ordinary-priced
 // machine that may be in use, and how long a task has run (s): a start that is
@@ -329,7 +330,7 @@
 // A connection's thread waits this long for the core (s): less than a worker's
 // 4 s and a user's 5 s.
 inline constexpr double kCoreAnswerS = 3.8;
-// Sockets kept for what this process itself opens: lanes, siblings, their
+// Sockets kept for what this process itself opens: lanes, peers, their
 // notes.
 inline constexpr int kOwnSockets = 100;
 // Memory (MiB) that all but the server may take: 12 to 15 were seen on a
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -253,14 +253,13 @@
   s->node = top.Text("node_name");
   s->zone = top.Text("site");
   s->listen = top.Address("serve_on");
-  s->mesh_listen = top.Address("mesh_addr");
+  s->peer_listen = top.Address("mesh_addr");
   std::set<std::string> names{s->node};
   for (const Section& item : top.List("siblings")) {
-    Sibling sibling{item.Text("node_name"), item.Text("site"),
-                    item.Address("addr")};
-    if (!names.insert(sibling.name).second)
+    Peer peer{item.Text("node_name"), item.Text("site"), item.Address("addr")};
+    if (!names.insert(peer.name).second)
       item.Wrong("node_name", "stands twice");
-    s->siblings.push_back(std::move(sibling));
+    s->peers.push_back(std::move(peer));
   }
   const Section outside = top.Sub("outside");
   s->cloud_address = outside.Address("cloud");
@@ -310,11 +309,11 @@
   if (state.Has("next")) {
     const Section next = state.Sub("next");
     // What it does not name stays as it is.
-    const double ops = s->state_txn_ops;
+    const double mutations = s->state_txn_ops;
     s->state_next = StateLimits{
         next.Number("write_rps", 0.1, kMostCount, &s->state_write_rps),
         next.Number("value_kb", 0.1, kMostCount, &s->state_value_kb),
-        static_cast<int>(next.Number("txn_ops", 2, 1e6, &ops))};
+        static_cast<int>(next.Number("txn_ops", 2, 1e6, &mutations))};
   }
   const Section cloud = cluster.Sub("cloud");
   s->cloud_rps = cloud.Number("rps", 0.01, kMostCount);
@@ -364,7 +363,7 @@
 
 std::string DescribeCapacity(const ClusterSettings& settings) {
   const size_t machines = MostMachines(settings);
-  const double records_per_s = settings.state_write_rps * kWriteShare;
+  const double records_per_s = settings.state_write_rps * kLeaderWriteShare;
   std::ostringstream text;
   text << "the settings carry up to " << machines << " machines, bounded by "
        << (machines < MostWorkers(settings) ? "memory" : "sockets")
--- a/src/core/api/front_desk.cc
+++ b/src/core/api/job_api.cc
@@ -1,4 +1,4 @@
-#include "core/api/front_desk.h"
+#include "core/api/job_api.h"
 
 #include <algorithm>
 #include <set>
@@ -14,18 +14,17 @@
 
 }  // namespace
 
-FrontDesk::FrontDesk(Context* context, Directory* directory,
-                     const StateLimitTracker* limits,
-                     const ClusterSettings* settings)
+JobApi::JobApi(Context* context, JobCache* job_cache,
+               const StateLimitTracker* limits, const ClusterSettings* settings)
     : context_(context),
-      directory_(directory),
+      job_cache_(job_cache),
       limits_(limits),
       settings_(settings),
-      check_every_s_(std::max(
-          kCheckBatchS, static_cast<double>(settings->siblings.size() + 1) /
-                            (settings->state_rps * kCheckShare))) {}
+      check_every_s_(std::max(kCheckBatchS,
+                              static_cast<double>(settings->peers.size() + 1) /
+                                  (settings->state_rps * kCheckShare))) {}
 
-void FrontDesk::Tick() {
+void JobApi::Tick() {
   std::vector<uint64_t> late;
   for (const auto& [request, open] : open_)
     if (context_->now > open.until) late.push_back(request);
@@ -35,7 +34,7 @@
     Check();
 }
 
-bool FrontDesk::Admit(uint64_t request, Kind kind) {
+bool JobApi::Admit(uint64_t request, Kind kind) {
   const bool poll = kind == Kind::kPoll;
   const size_t waiting = poll ? open_polls_ : open_.size() - open_polls_;
   open_[request] = {kind,
@@ -46,16 +45,16 @@
   return false;
 }
 
-void FrontDesk::Busy(uint64_t request, const std::string& why) {
+void JobApi::Busy(uint64_t request, const std::string& why) {
   Answer(request, 429, wire::EncodeError(why), 2);
 }
 
 // Guards against polls for jobs that nobody submitted, or that are long over,
 // taking the state service's requests from renewals and the leader's writes.
-bool FrontDesk::MayLookUp() {
+bool JobApi::MayLookUp() {
   const double rate = std::max(
       kLeastLookUps, settings_->state_rps * kLookUpShare /
-                         static_cast<double>(settings_->siblings.size() + 1));
+                         static_cast<double>(settings_->peers.size() + 1));
   look_ups_ = std::min(rate, look_ups_ + (context_->now - look_ups_at_) * rate);
   look_ups_at_ = context_->now;
   if (look_ups_ < 1) return false;
@@ -63,41 +62,40 @@
   return true;
 }
 
-void FrontDesk::Answer(uint64_t request, int status, std::string body,
-                       double retry_after_s) {
+void JobApi::Answer(uint64_t request, int status, std::string body,
+                    double retry_after_s) {
   const auto open = open_.find(request);
   if (open == open_.end()) return;  // answered already
   if (open->second.kind == Kind::kPoll) --open_polls_;
   open_.erase(open);
   context_->out.push_back(
-      AnswerUser{request, status, std::move(body), retry_after_s});
+      ClientResponse{request, status, std::move(body), retry_after_s});
 }
 
-void FrontDesk::Unavailable(uint64_t request, const std::string& why) {
+void JobApi::Unavailable(uint64_t request, const std::string& why) {
   Answer(request, 503, wire::EncodeError(why), 1);
 }
 
-void FrontDesk::AnswerFinal(uint64_t request, const std::string& id,
-                            FinalState state) {
+void JobApi::AnswerFinal(uint64_t request, const std::string& id,
+                         FinalState state) {
   Answer(request, 200,
          wire::EncodeStatus(id,
                             state == FinalState::kDone ? "done" : "cancelled"));
 }
 
-void FrontDesk::AnswerState(uint64_t request, int status,
-                            const std::string& id) {
-  if (auto state = directory_->FindFinal(id)) {
+void JobApi::AnswerState(uint64_t request, int status, const std::string& id) {
+  if (auto state = job_cache_->FindFinal(id)) {
     AnswerFinal(request, id, *state);
     return;
   }
-  const KnownJob* known = directory_->FindLive(id);
+  const CachedJob* known = job_cache_->FindLive(id);
   const JobCounts counts = known ? known->counts : JobCounts();
   Answer(request, status,
          wire::EncodeStatus(id, counts.running > 0 ? "running" : "queued",
                             counts.done, counts.running));
 }
 
-std::string FrontDesk::Impossible(const JobSpec& spec) const {
+std::string JobApi::Impossible(const JobSpec& spec) const {
   const auto team =
       std::find_if(settings_->teams.begin(), settings_->teams.end(),
                    [&](const Team& t) { return t.name == spec.team; });
@@ -122,10 +120,10 @@
   return "a task fits no machine type that the job allows";
 }
 
-void FrontDesk::Submit(uint64_t request, const JobSpec& spec) {
+void JobApi::Submit(uint64_t request, const JobSpec& spec) {
   if (!Admit(request, Kind::kChange)) return;
   const std::string id = spec.id;
-  if (auto state = directory_->FindFinal(id)) {
+  if (auto state = job_cache_->FindFinal(id)) {
     AnswerFinal(request, id, *state);
     return;
   }
@@ -146,21 +144,22 @@
     return;
   }
   context_->Transact(
-      StateLane::kUser, {{keys::Live(id), 0}, {keys::Final(id), 0}},
+      StateConnection::kUser, {{keys::Live(id), 0}, {keys::Final(id), 0}},
       {{false, keys::Live(id), std::move(record), 0}},
       [this, request, id, job](const StateResult& result) {
         switch (result.outcome) {
           case Outcome::kOk:
-            directory_->LearnLive(id, result.revision, job);
+            job_cache_->ApplyLiveJob(id, result.revision, job);
             Answer(request, 201, wire::EncodeStatus(id, "queued"));
             return;
           case Outcome::kConflict:
-            LookUp(StateLane::kUser, id, [this, request, id](Where where) {
-              if (where == Where::kNoAnswer || where == Where::kNowhere)
-                Unavailable(request, "the state service does not answer");
-              else
-                AnswerState(request, 200, id);
-            });
+            LookUp(
+                StateConnection::kUser, id, [this, request, id](Where where) {
+                  if (where == Where::kNoAnswer || where == Where::kNowhere)
+                    Unavailable(request, "the state service does not answer");
+                  else
+                    AnswerState(request, 200, id);
+                });
             return;
           case Outcome::kRefused:
             if (result.refusal == StateRefusal::kTooLarge) {
@@ -178,41 +177,43 @@
 
 // Guards against refusing what was accepted under other machine types or
 // limits.
-void FrontDesk::RefuseUnlessKnown(uint64_t request, const std::string& id,
-                                  int status, const std::string& why) {
-  LookUp(StateLane::kUser, id, [this, request, id, status, why](Where where) {
-    if (where == Where::kNoAnswer)
-      Unavailable(request, "the state service does not answer");
-    else if (where == Where::kNowhere)
-      Answer(request, status, wire::EncodeError(why));
-    else
-      AnswerState(request, 200, id);
-  });
+void JobApi::RefuseUnlessKnown(uint64_t request, const std::string& id,
+                               int status, const std::string& why) {
+  LookUp(StateConnection::kUser, id,
+         [this, request, id, status, why](Where where) {
+           if (where == Where::kNoAnswer)
+             Unavailable(request, "the state service does not answer");
+           else if (where == Where::kNowhere)
+             Answer(request, status, wire::EncodeError(why));
+           else
+             AnswerState(request, 200, id);
+         });
 }
 
-void FrontDesk::LookUp(StateLane lane, const std::string& id,
-                       const std::function<void(Where)>& found) {
-  context_->Get(
-      lane, keys::Live(id), [this, lane, id, found](const StateResult& got) {
-        if (got.outcome == Outcome::kOk && !got.items.empty()) {
-          directory_->LearnLive(id, got.items[0].version, got.items[0].value);
-          found(Where::kLive);
-        } else if (got.outcome == Outcome::kConflict) {
-          ReadFinal(lane, id, found);
-        } else {
-          found(Where::kNoAnswer);
-        }
-      });
+void JobApi::LookUp(StateConnection connection, const std::string& id,
+                    const std::function<void(Where)>& found) {
+  context_->Get(connection, keys::Live(id),
+                [this, connection, id, found](const StateResult& got) {
+                  if (got.outcome == Outcome::kOk && !got.items.empty()) {
+                    job_cache_->ApplyLiveJob(id, got.items[0].version,
+                                             got.items[0].value);
+                    found(Where::kLive);
+                  } else if (got.outcome == Outcome::kConflict) {
+                    ReadFinal(connection, id, found);
+                  } else {
+                    found(Where::kNoAnswer);
+                  }
+                });
 }
 
-void FrontDesk::ReadFinal(StateLane lane, const std::string& id,
-                          const std::function<void(Where)>& found) {
-  context_->Get(lane, keys::Final(id),
+void JobApi::ReadFinal(StateConnection connection, const std::string& id,
+                       const std::function<void(Where)>& found) {
+  context_->Get(connection, keys::Final(id),
                 [this, id, found](const StateResult& got) {
                   FinalState state;
                   if (got.outcome == Outcome::kOk && !got.items.empty() &&
                       wire::ParseFinal(got.items[0].value, &state)) {
-                    directory_->LearnFinal(id, state);
+                    job_cache_->ApplyFinalState(id, state);
                     found(Where::kFinal);
                   } else if (got.outcome == Outcome::kConflict) {
                     found(Where::kNowhere);
@@ -223,29 +224,30 @@
 }
 
 // The job is no longer live: how it ended is read and told.
-void FrontDesk::TellFinal(StateLane lane, std::vector<uint64_t> requests,
-                          const std::string& id) {
-  ReadFinal(lane, id, [this, requests = std::move(requests), id](Where where) {
-    for (const uint64_t request : requests) {
-      if (where == Where::kFinal)
-        AnswerState(request, 200, id);
-      else
-        Unavailable(request, "the state service does not answer");
-    }
-  });
+void JobApi::TellFinal(StateConnection connection,
+                       std::vector<uint64_t> requests, const std::string& id) {
+  ReadFinal(connection, id,
+            [this, requests = std::move(requests), id](Where where) {
+              for (const uint64_t request : requests) {
+                if (where == Where::kFinal)
+                  AnswerState(request, 200, id);
+                else
+                  Unavailable(request, "the state service does not answer");
+              }
+            });
 }
 
-void FrontDesk::Poll(uint64_t request, const std::string& id) {
+void JobApi::Poll(uint64_t request, const std::string& id) {
   if (!Admit(request, Kind::kPoll)) return;
   if (!wire::ValidJobId(id)) {
     Answer(request, 404, wire::EncodeError("no such job"));
     return;
   }
-  if (auto state = directory_->FindFinal(id)) {
+  if (auto state = job_cache_->FindFinal(id)) {
     AnswerFinal(request, id, *state);
     return;
   }
-  if (directory_->FindLive(id)) {
+  if (job_cache_->FindLive(id)) {
     // Another controller may have told a later state: checked before telling.
     if (checks_.empty()) check_at_ = context_->now + check_every_s_;
     checks_.push_back({request, id});
@@ -255,10 +257,10 @@
     Busy(request, "too many jobs that are not known here are asked for");
     return;
   }
-  LookUp(StateLane::kPoll, id, [this, request, id](Where where) {
+  LookUp(StateConnection::kPoll, id, [this, request, id](Where where) {
     if (where == Where::kNoAnswer)
       Unavailable(request, "the state service does not answer");
-    else if (where == Where::kNowhere && !directory_->FindLive(id))
+    else if (where == Where::kNowhere && !job_cache_->FindLive(id))
       Answer(request, 404, wire::EncodeError("no such job"));
     else  // found, or accepted since it was looked for
       AnswerState(request, 200, id);
@@ -267,33 +269,33 @@
 
 // One compare-only transaction, sent after the polls arrived, shows which of
 // their jobs are still live.
-void FrontDesk::Check() {
-  const size_t most = limits_->transaction_guards();
-  std::vector<Guard> guards;
+void JobApi::Check() {
+  const size_t most = limits_->max_preconditions();
+  std::vector<Precondition> preconditions;
   std::set<std::string> included;
   std::vector<Waiting> batch, rest;
   for (Waiting& waiting : checks_) {
-    const KnownJob* known = directory_->FindLive(waiting.id);
+    const CachedJob* known = job_cache_->FindLive(waiting.id);
     if (!known) {  // it has ended since the poll came: that is final
       AnswerState(waiting.request, 200, waiting.id);
       continue;
     }
     if (!included.count(waiting.id)) {
-      if (guards.size() >= most) {
+      if (preconditions.size() >= most) {
         rest.push_back(std::move(waiting));
         continue;
       }
       included.insert(waiting.id);
-      guards.push_back({keys::Live(waiting.id), known->version});
+      preconditions.push_back({keys::Live(waiting.id), known->version});
     }
     batch.push_back(std::move(waiting));
   }
   checks_ = std::move(rest);
   check_at_ = context_->now + check_every_s_;
-  if (guards.empty()) return;
+  if (preconditions.empty()) return;
   ++checks_sent_;
   context_->Transact(
-      StateLane::kPoll, std::move(guards), {},
+      StateConnection::kPoll, std::move(preconditions), {},
       [this, batch = std::move(batch)](const StateResult& result) {
         --checks_sent_;
         const std::set<std::string> failed(result.failed.begin(),
@@ -313,26 +315,26 @@
         }
         // However many ask for it, a job's end is read once.
         for (auto& [id, requests] : ended)
-          TellFinal(StateLane::kPoll, std::move(requests), id);
+          TellFinal(StateConnection::kPoll, std::move(requests), id);
       });
 }
 
-void FrontDesk::Cancel(uint64_t request, const std::string& id) {
+void JobApi::Cancel(uint64_t request, const std::string& id) {
   if (!Admit(request, Kind::kChange)) return;
   if (!wire::ValidJobId(id)) {
     Answer(request, 404, wire::EncodeError("no such job"));
     return;
   }
-  if (auto state = directory_->FindFinal(id)) {
+  if (auto state = job_cache_->FindFinal(id)) {
     AnswerFinal(request, id, *state);
     return;
   }
-  if (directory_->FindLive(id)) {
+  if (job_cache_->FindLive(id)) {
     CancelLive(request, id);
     return;
   }
-  LookUp(StateLane::kUser, id, [this, request, id](Where where) {
-    if (where == Where::kLive && directory_->FindLive(id))
+  LookUp(StateConnection::kUser, id, [this, request, id](Where where) {
+    if (where == Where::kLive && job_cache_->FindLive(id))
       CancelLive(request, id);
     else if (where == Where::kFinal || where == Where::kLive)
       AnswerState(request, 200, id);
@@ -344,18 +346,18 @@
 }
 
 // Committed before it is told, and guarded against the job having been done.
-void FrontDesk::CancelLive(uint64_t request, const std::string& id) {
-  const uint64_t version = directory_->FindLive(id)->version;
+void JobApi::CancelLive(uint64_t request, const std::string& id) {
+  const uint64_t version = job_cache_->FindLive(id)->version;
   context_->Transact(
-      StateLane::kUser, {{keys::Live(id), version}},
+      StateConnection::kUser, {{keys::Live(id), version}},
       {{true, keys::Live(id), "", 0},
        {false, keys::Final(id), wire::EncodeFinal(FinalState::kCancelled), 0}},
       [this, request, id](const StateResult& result) {
         if (result.outcome == Outcome::kOk) {
-          directory_->LearnFinal(id, FinalState::kCancelled);
+          job_cache_->ApplyFinalState(id, FinalState::kCancelled);
           AnswerState(request, 200, id);
         } else if (result.outcome == Outcome::kConflict) {
-          TellFinal(StateLane::kUser, {request}, id);
+          TellFinal(StateConnection::kUser, {request}, id);
         } else {
           Unavailable(request, "the cancellation could not be recorded");
         }
--- a/src/core/api/front_desk.h
+++ b/src/core/api/job_api.h
@@ -7,18 +7,18 @@
 #include <string>
 #include <vector>
 
-#include "core/coordination/directory.h"
+#include "core/coordination/job_cache.h"
 #include "core/coordination/state_limits.h"
 #include "core/engine/context.h"
 
 namespace sorrelwood {
 
-class FrontDesk {
+class JobApi {
  public:
-  FrontDesk(Context* context, Directory* directory,
-            const StateLimitTracker* limits, const ClusterSettings* settings);
+  JobApi(Context* context, JobCache* job_cache, const StateLimitTracker* limits,
+         const ClusterSettings* settings);
 
-  void LearnCatalog(const std::vector<MachineType>& types) { types_ = types; }
+  void UpdateCatalog(const std::vector<MachineType>& types) { types_ = types; }
   // Answers that wait for the state service and could not be given in time are
   // given up; the checks that are due are sent.
   void Tick();
@@ -51,17 +51,17 @@
   // Reads live key, then final key, and calls `found` with what there is: the
   // job moves from the first to the second, so this order misses nothing.
   enum class Where { kLive, kFinal, kNowhere, kNoAnswer };
-  void LookUp(StateLane lane, const std::string& id,
+  void LookUp(StateConnection connection, const std::string& id,
               const std::function<void(Where)>& found);
-  void ReadFinal(StateLane lane, const std::string& id,
+  void ReadFinal(StateConnection connection, const std::string& id,
                  const std::function<void(Where)>& found);
-  void TellFinal(StateLane lane, std::vector<uint64_t> requests,
+  void TellFinal(StateConnection connection, std::vector<uint64_t> requests,
                  const std::string& id);
   void CancelLive(uint64_t request, const std::string& id);
   void Check();
 
   Context* context_;
-  Directory* directory_;
+  JobCache* job_cache_;
   const StateLimitTracker* limits_;
   const ClusterSettings* settings_;
   std::vector<MachineType> types_;
--- a/src/core/autoscaling/fleet.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -1,4 +1,4 @@
-#include "core/autoscaling/fleet.h"
+#include "core/autoscaling/autoscaler.h"
 
 #include <algorithm>
 #include <cmath>
@@ -11,19 +11,19 @@
 
 namespace sorrelwood {
 
-void Fleet::LearnCatalog(const std::vector<MachineType>& types) {
+void Autoscaler::UpdateCatalog(const std::vector<MachineType>& types) {
   // Entries stay where they are: machines point to them.
   for (const MachineType& type : types) types_[type.name] = type;
   for (auto& [name, machine] : machines_->all())
     if (!machine->type) machine->type = FindType(machine->type_name);
 }
 
-const MachineType* Fleet::FindType(const std::string& name) const {
+const MachineType* Autoscaler::FindType(const std::string& name) const {
   auto it = types_.find(name);
   return it == types_.end() ? nullptr : &it->second;
 }
 
-void Fleet::Load(uint64_t term, const std::vector<RentRecord>& rents) {
+void Autoscaler::Load(uint64_t term, const std::vector<RentRecord>& rents) {
   term_ = term;
   next_rent_ = 0;
   for (const RentRecord& record : rents) {
@@ -38,7 +38,7 @@
       machine->type = FindType(record.type);
       machine->zone = record.zone;
       machine->spot = record.spot;
-      machine->vouched = true;
+      machine->identity_confirmed = true;
       machine->rented_at = context_->now;
       rent.unsettled.insert(name);
     }
@@ -49,7 +49,7 @@
   base_most_ = base_target_ = load_ = guaranteed * policy_.base_share;
 }
 
-void Fleet::Clear() {
+void Autoscaler::Clear() {
   ++generation_;
   rents_.clear();
   returning_.clear();
@@ -61,7 +61,7 @@
   held_up_at_ = 0;
 }
 
-bool Fleet::TakeCall() {
+bool Autoscaler::TakeCall() {
   const double rate = settings_->cloud_rps * kCloudRateShare;
   calls_ = std::min(rate, calls_ + (context_->now - calls_at_) * rate);
   calls_at_ = context_->now;
@@ -70,14 +70,15 @@
   return true;
 }
 
-void Fleet::Tick(bool may_launch, double launch_until) {
-  launch_until_ = launch_until;
-  // Machines are idle for want of work only while work may start: guards
+void Autoscaler::Tick(bool may_dispatch, double dispatch_deadline) {
+  launch_until_ = dispatch_deadline;
+  // Machines are idle for want of work only while work may start: preconditions
   // against returning those that what is held up is for.
-  if (!may_launch || placement_->unaccounted() > 0) held_up_at_ = context_->now;
+  if (!may_dispatch || placement_->unreconciled() > 0)
+    held_up_at_ = context_->now;
   // Guards against a leader that is cut off, and perhaps replaced, returning
   // machines: what it asks may be carried out late, on the next leader's work.
-  if (!may_launch || types_.empty()) return;
+  if (!may_dispatch || types_.empty()) return;
   SendReturns();
   for (auto& [name, rent] : rents_)
     if (rent.recorded && !rent.record.answered && !rent.calling &&
@@ -87,7 +88,7 @@
   if (context_->now >= next_plan_) {
     next_plan_ = context_->now + 1;
     ChooseBase();
-    ChooseStandby();
+    ChooseHeadroomMachines();
     ChooseSurplus();
     ReturnIdle();
     Plan();
@@ -97,14 +98,14 @@
 // --- Returning
 // -------------------------------------------------------------------
 
-void Fleet::Return(Machine* machine, const std::string& why) {
-  if (machine->releasing) return;
-  machine->releasing = true;
+void Autoscaler::Return(Machine* machine, const std::string& why) {
+  if (machine->terminating) return;
+  machine->terminating = true;
   returning_.insert(machine->name);
   context_->Info("returning " + machine->name + ": " + why);
 }
 
-void Fleet::SendReturns() {
+void Autoscaler::SendReturns() {
   if (returning_.empty() || return_in_flight_ || !TakeCall()) return;
   std::vector<std::string> names;
   for (const std::string& name : returning_) {
@@ -131,30 +132,30 @@
       });
 }
 
-void Fleet::ReturnIdle() {
+void Autoscaler::ReturnIdle() {
   const BootPeers came_up = CameUp();
   for (auto& [name, machine] : machines_->all()) {
     Machine* m = machine.get();
-    if (m->releasing || !m->type) continue;
+    if (m->terminating || !m->type) continue;
     if (!m->ever_reported) {
       if (GivenUp(*m, came_up)) Return(m, "it has not come up");
       continue;
     }
-    if (!m->tasks.empty() || !m->finished.empty() || !m->heard ||
-        m->HasHeldPlaces()) {
+    if (!m->attempts.empty() || !m->unrecorded_completions.empty() ||
+        !m->token_acknowledged || m->HasReservations()) {
       m->idle_since = 0;
       continue;
     }
-    if (m->set_aside) {
-      if (context_->now >= m->doubted_until) Return(m, "it is faulty");
+    if (m->quarantined) {
+      if (context_->now >= m->suspect_until) Return(m, "it is faulty");
       continue;
     }
-    if (m->notice_until > 0) {
+    if (m->preemption_deadline > 0) {
       Return(m, "the cloud takes it back");
       continue;
     }
     if (m->idle_since == 0) m->idle_since = context_->now;
-    if (!m->base && !m->for_services &&
+    if (!m->baseline && !m->for_services &&
         context_->now - std::max(m->idle_since, held_up_at_) > policy_.hold_s)
       Return(m, "idle");
   }
@@ -163,13 +164,13 @@
 // --- The list
 // ----------------------------------------------------------------------
 
-double Fleet::ListIntervalS() const {
+double Autoscaler::ListIntervalS() const {
   return std::max(kListEveryS,
                   static_cast<double>(list_pages_) /
                       (settings_->cloud_rps * kCloudRateShare * kListShare));
 }
 
-void Fleet::ReadList() {
+void Autoscaler::ReadList() {
   listing_ = true;
   next_list_ = context_->now + ListIntervalS();
   const double sent = context_->now;
@@ -186,14 +187,15 @@
   });
 }
 
-void Fleet::LearnList(const std::vector<ListedMachine>& listed, double sent) {
+void Autoscaler::LearnList(const std::vector<ListedMachine>& listed,
+                           double sent) {
   list_known_ = true;
   std::set<std::string> present;
   for (const ListedMachine& item : listed) {
     present.insert(item.name);
-    if (machines_->Gone(item.name)) continue;  // the list lags
+    if (machines_->IsGone(item.name)) continue;  // the list lags
     Machine* machine = machines_->Find(item.name);
-    if (!machine || !machine->vouched) {
+    if (!machine || !machine->identity_confirmed) {
       // A rental that was carried out late: used like any other machine.
       machine = machines_->Add(item.name);
       machine->type_name = item.type;
@@ -206,8 +208,8 @@
     if (!machine->ever_reported)
       machine->rented_at =
           std::min(machine->rented_at, context_->now - item.age_s);
-    machine->listed = machine->vouched = true;
-    machine->missing_since = 0;
+    machine->listed = machine->identity_confirmed = true;
+    machine->unlisted_since = 0;
     if (machine->address.empty()) machine->address = item.address;
     if (item.status == MachineStatus::kFailed) Return(machine, "it failed");
   }
@@ -215,23 +217,23 @@
   // proof; a list alone is none.
   const double lag = 2 * settings_->list_lag_s + ListIntervalS();
   for (auto& [name, machine] : machines_->all()) {
-    if (present.count(name) || machine->releasing) continue;
+    if (present.count(name) || machine->terminating) continue;
     // One that an earlier leader recorded was rented before we were elected: a
     // list so much later lacks it only if it is gone, and the removal of its
     // record was lost. Guards against a takeover that is held up by the records
     // of machines that no longer exist, however many.
-    if (machine->inherited && !machine->listed &&
+    if (machine->from_earlier_term && !machine->listed &&
         sent > machine->rented_at + 2 * settings_->list_lag_s + kListMarginS &&
-        context_->now - machine->last_heard >
-            kSilentReports * settings_->report_s) {
+        context_->now - machine->last_contact_at >
+            kSilentHeartbeats * settings_->report_s) {
       Return(machine.get(), "it was not there any more");
       continue;
     }
     if (!machine->listed) continue;
-    if (machine->missing_since == 0) machine->missing_since = context_->now;
-    if (context_->now - machine->missing_since > lag &&
-        context_->now - machine->last_heard >
-            kSilentReports * settings_->report_s)
+    if (machine->unlisted_since == 0) machine->unlisted_since = context_->now;
+    if (context_->now - machine->unlisted_since > lag &&
+        context_->now - machine->last_contact_at >
+            kSilentHeartbeats * settings_->report_s)
       Return(machine.get(), "it is no longer listed");
   }
 }
@@ -239,7 +241,7 @@
 // --- Renting
 // -----------------------------------------------------------------------
 
-std::vector<Fleet::Offer> Fleet::Offers() const {
+std::vector<Autoscaler::Offer> Autoscaler::Offers() const {
   std::vector<Offer> offers;
   for (const auto& [name, type] : types_)
     for (const std::string& zone : type.zones)
@@ -250,24 +252,24 @@
   return offers;
 }
 
-bool Fleet::Refused(const Offer& offer) const {
+bool Autoscaler::Refused(const Offer& offer) const {
   auto refused = refused_until_.find(offer.Key());
   return refused != refused_until_.end() && context_->now < refused->second;
 }
 
-bool Fleet::JobAllows(const Job& job, const MachineType& type,
-                      const std::string& zone, bool spot) const {
+bool Autoscaler::JobAllows(const Job& job, const MachineType& type,
+                           const std::string& zone, bool spot) const {
   const JobSpec& spec = job.spec();
-  if (spec.one_zone && !job.placed_in_zone.empty() &&
-      job.placed_in_zone.begin()->first != zone)
+  if (spec.one_zone && !job.attempts_in_zone.empty() &&
+      job.attempts_in_zone.begin()->first != zone)
     return false;
-  if (!Placement::AllowsPlace(spec, type, zone, spot)) return false;
+  if (!Placement::AllowsLocation(spec, type, zone, spot)) return false;
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus &&
          spec.memory_gb <= type.memory_gb;
 }
 
 // What a task takes of a machine, its scarcest share counted as cores.
-double Fleet::Cores(const JobSpec& spec, const MachineType& type) const {
+double Autoscaler::Cores(const JobSpec& spec, const MachineType& type) const {
   double share = spec.cpus / type.cpus;
   if (type.memory_gb > 0)
     share = std::max(share, spec.memory_gb / type.memory_gb);
@@ -275,20 +277,20 @@
   return share * type.cpus;
 }
 
-double Fleet::CoreSeconds(const JobSpec& spec, const MachineType& type,
-                          double drain_s) const {
+double Autoscaler::CoreSeconds(const JobSpec& spec, const MachineType& type,
+                               double drain_s) const {
   return Cores(spec, type) * std::min(jobs_->Estimate(spec), drain_s);
 }
 
-std::map<std::string, double> Fleet::TeamLeft() const {
+std::map<std::string, double> Autoscaler::TeamLeft() const {
   std::map<std::string, double> left;
   for (const Team& team : settings_->teams)
     left[team.name] = team.cpus_max - jobs_->use(team.name).cpus;
   return left;
 }
 
-double Fleet::Startable(const Job& job,
-                        std::map<std::string, double>* team_left) const {
+double Autoscaler::MayStartTask(
+    const Job& job, std::map<std::string, double>* team_left) const {
   if (job.pending.empty() || job.finishing || context_->now < job.retry_at)
     return 0;
   double& left = (*team_left)[job.spec().team];
@@ -301,19 +303,20 @@
   return count;
 }
 
-bool Fleet::InPlan(const Machine& machine) {
-  return machine.type && machine.vouched && !machine.releasing &&
-         !machine.set_aside && !machine.deaf && machine.notice_until == 0;
+bool Autoscaler::InPlan(const Machine& machine) {
+  return machine.type && machine.identity_confirmed && !machine.terminating &&
+         !machine.quarantined && !machine.unreachable &&
+         machine.preemption_deadline == 0;
 }
 
-double Fleet::Coming(const Machine& machine) const {
+double Autoscaler::Coming(const Machine& machine) const {
   if (machine.ever_reported) return 1;
   const double boots =
       (context_->now - machine.rented_at) / std::max(1.0, machine.type->boot_s);
   return std::clamp((kBootLate - boots) / (kBootLate - kBootUsual), 0.0, 1.0);
 }
 
-Fleet::BootPeers Fleet::CameUp() const {
+Autoscaler::BootPeers Autoscaler::CameUp() const {
   BootPeers came_up;
   for (const auto& [name, machine] : machines_->all())
     if (machine->came_up_at > 0)
@@ -323,7 +326,8 @@
   return came_up;
 }
 
-bool Fleet::GivenUp(const Machine& machine, const BootPeers& came_up) const {
+bool Autoscaler::GivenUp(const Machine& machine,
+                         const BootPeers& came_up) const {
   const double age = context_->now - machine.rented_at;
   const auto over = [&](double boots) {
     return age > std::max(kBootPatienceMinS, machine.type->boot_s * boots);
@@ -343,19 +347,20 @@
 }
 
 // What is up, booting and asked for, less what is placed there.
-std::vector<Fleet::Room> Fleet::Rooms(double drain_s) const {
+std::vector<Autoscaler::Room> Autoscaler::Rooms(double drain_s) const {
   std::vector<Room> rooms;
   for (const auto& [name, machine] : machines_->all()) {
     if (!InPlan(*machine)) continue;
     const double cpus = machine->type->cpus * Coming(*machine);
     Room room{machine->type, machine->zone, machine->spot, cpus,
               cpus * drain_s};
-    for (const auto& [key, placed] : machine->tasks) {
+    for (const auto& [key, attempt] : machine->attempts) {
       const Job* job = jobs_->Find(key.first);
       if (!job) continue;
       const double left =
           jobs_->Estimate(job->spec()) -
-          (placed.running_since > 0 ? context_->now - placed.running_since : 0);
+          (attempt.running_since > 0 ? context_->now - attempt.running_since
+                                     : 0);
       room.core_seconds -= Cores(job->spec(), *machine->type) *
                            std::clamp(left, kLeastEstimateS, drain_s);
     }
@@ -371,7 +376,7 @@
   return rooms;
 }
 
-const Fleet::Offer* Fleet::Cheapest(
+const Autoscaler::Offer* Autoscaler::Cheapest(
     const Job& job, double count, bool dear, const std::vector<Offer>& offers,
     const std::map<std::string, int>& wanted,
     const std::set<std::string>& full_zones) const {
@@ -404,19 +409,20 @@
   return best;
 }
 
-double Fleet::ZoneLeft(const Job& job, const std::string& zone,
-                       const std::map<std::string, double>& planned) {
+double Autoscaler::ZoneLeft(const Job& job, const std::string& zone,
+                            const std::map<std::string, double>& planned) {
   if (!job.spec().spread) return kNoLimit;
   const uint32_t most = (job.spec().tasks + 1) / 2;
   double left = most;
-  if (auto it = job.placed_in_zone.find(zone); it != job.placed_in_zone.end())
+  if (auto it = job.attempts_in_zone.find(zone);
+      it != job.attempts_in_zone.end())
     left -= it->second;
   if (auto it = planned.find(zone); it != planned.end()) left -= it->second;
   return std::max(0.0, left);
 }
 
-void Fleet::PlanJob(const Job& job, double count, std::vector<Room>* rooms,
-                    std::map<std::string, int>* wanted) {
+void Autoscaler::PlanJob(const Job& job, double count, std::vector<Room>* rooms,
+                         std::map<std::string, int>* wanted) {
   const JobSpec& spec = job.spec();
   std::map<std::string, double> planned;  // tasks, by zone
   const auto take = [&](Room* room, double fit) {
@@ -456,16 +462,16 @@
   }
 }
 
-void Fleet::PlanCheap(std::map<std::string, int>* wanted) {
+void Autoscaler::PlanCheap(std::map<std::string, int>* wanted) {
   std::vector<Room> rooms = Rooms(policy_.drain_s);
   std::map<std::string, double> team_left = TeamLeft();
   for (Job* job : jobs_->queue()) {
-    const double count = Startable(*job, &team_left);
+    const double count = MayStartTask(*job, &team_left);
     if (count >= 1) PlanJob(*job, count, &rooms, wanted);
   }
 }
 
-void Fleet::PlanDear(std::map<std::string, int>* wanted) {
+void Autoscaler::PlanDear(std::map<std::string, int>* wanted) {
   const std::vector<Offer> offers = Offers();
   double cores = 0, work = 0, boot_s = 0;
   for (const auto& [name, type] : types_)
@@ -511,30 +517,30 @@
   }
 }
 
-bool Fleet::HoldsReplicas(const Machine& machine) {
+bool Autoscaler::HoldsReplicas(const Machine& machine) {
   return std::any_of(
-      machine.tasks.begin(), machine.tasks.end(), [](const auto& item) {
-        return item.second.job_live && item.second.record->spec.IsService();
+      machine.attempts.begin(), machine.attempts.end(), [](const auto& item) {
+        return item.second.job_active && item.second.record->spec.IsService();
       });
 }
 
-std::vector<Placement::Standby> Fleet::StandbyNeeds() const {
-  std::vector<Placement::Standby> needs = placement_->StandbyNeeds();
+std::vector<Placement::Headroom> Autoscaler::HeadroomNeeds() const {
+  std::vector<Placement::Headroom> needs = placement_->HeadroomNeeds();
   // While there is no work at all nothing is kept for what may come.
   const bool unseen =
       !jobs_->all().empty() &&
       std::any_of(settings_->objectives.begin(), settings_->objectives.end(),
                   [&](const Objective& objective) {
                     return objective.kind == "wait" &&
-                           objective.within_s <= kReserveWithinS &&
+                           objective.within_s <= kImmediateStartWithinS &&
                            !jobs_->Usual(objective.job_class);
                   });
   const MachineType* smallest = nullptr;
   for (const auto& [name, type] : types_)
     if (!smallest || type.price < smallest->price) smallest = &type;
   if (!unseen || !smallest) return needs;
-  Placement::Standby need;
-  need.slots = kUnseenStandbyMachines;
+  Placement::Headroom need;
+  need.slots = kUnseenClassHeadroomMachines;
   need.usual.spec.shape = Shape::kService;
   need.usual.spec.priority = Priority::kProduction;
   need.usual.spec.cpus = smallest->cpus;
@@ -545,14 +551,14 @@
 
 // First those that hold replicas, then the cheapest, as far as the room for
 // further replicas is needed.
-void Fleet::ChooseStandby() {
+void Autoscaler::ChooseHeadroomMachines() {
   std::vector<Machine*> candidates;
   for (auto& [name, machine] : machines_->all()) {
     Machine* m = machine.get();
     m->for_services = m->type && HoldsReplicas(*m);
-    if (InPlan(*m) && m->heard) candidates.push_back(m);
+    if (InPlan(*m) && m->token_acknowledged) candidates.push_back(m);
   }
-  const std::vector<Placement::Standby> needs = StandbyNeeds();
+  const std::vector<Placement::Headroom> needs = HeadroomNeeds();
   if (needs.empty()) return;
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Machine* a, const Machine* b) {
@@ -560,15 +566,15 @@
                        return a->for_services;
                      return PricePerCore(*a) < PricePerCore(*b);
                    });
-  for (const Placement::Standby& need : needs) {
+  for (const Placement::Headroom& need : needs) {
     const double of_a_zone = need.OfAZone();
     std::map<std::string, double> kept;  // slots, by zone
     double left = need.slots;
     for (Machine* m : candidates) {
       if (left < 1) break;
-      m->surplus = false;  // chosen anew after this
+      m->excess = false;  // chosen anew after this
       const double slots = std::min({left, of_a_zone - kept[m->zone],
-                                     Placement::StandbyRoom(*m, need.usual)});
+                                     Placement::HeadroomSlots(*m, need.usual)});
       if (slots < 1) continue;
       kept[m->zone] += slots;
       left -= slots;
@@ -577,15 +583,15 @@
   }
 }
 
-const Fleet::Offer* Fleet::CheapestStandby(
-    const UsualJob& usual, const std::vector<Offer>& offers,
+const Autoscaler::Offer* Autoscaler::CheapestHeadroomOffer(
+    const ClassProfile& usual, const std::vector<Offer>& offers,
     const std::map<std::string, double>& free, double of_a_zone) const {
   const Offer* best = nullptr;
   for (const Offer& offer : offers) {
     const auto there = free.find(offer.zone);
-    if (Refused(offer) || Placement::SlotsOf(*offer.type, usual) < 1 ||
-        !Placement::AllowsPlace(usual.spec, *offer.type, offer.zone,
-                                offer.spot) ||
+    if (Refused(offer) || Placement::SlotsOnType(*offer.type, usual) < 1 ||
+        !Placement::AllowsLocation(usual.spec, *offer.type, offer.zone,
+                                   offer.spot) ||
         (there != free.end() && there->second >= of_a_zone))
       continue;
     if (!best ||
@@ -595,9 +601,9 @@
   return best;
 }
 
-void Fleet::PlanStandby(std::map<std::string, int>* wanted) {
+void Autoscaler::PlanHeadroom(std::map<std::string, int>* wanted) {
   const std::vector<Offer> offers = Offers();
-  for (Placement::Standby& need : StandbyNeeds()) {
+  for (Placement::Headroom& need : HeadroomNeeds()) {
     for (const auto& [id, job] : jobs_->all())
       if (job->spec().job_class == need.job_class && !job->failing())
         need.slots += job->pending.size();
@@ -605,13 +611,13 @@
     std::map<std::string, double> free;  // by zone
     const auto coming = [&](const MachineType& type, const std::string& zone,
                             bool spot, double count) {
-      if (Placement::AllowsPlace(need.usual.spec, type, zone, spot))
-        free[zone] += count * Placement::SlotsOf(type, need.usual);
+      if (Placement::AllowsLocation(need.usual.spec, type, zone, spot))
+        free[zone] += count * Placement::SlotsOnType(type, need.usual);
     };
     for (const auto& [name, machine] : machines_->all()) {
       if (!InPlan(*machine)) continue;
       if (machine->ever_reported)
-        free[machine->zone] += Placement::StandbyRoom(*machine, need.usual);
+        free[machine->zone] += Placement::HeadroomSlots(*machine, need.usual);
       else
         coming(*machine->type, machine->zone, machine->spot, Coming(*machine));
     }
@@ -628,7 +634,8 @@
       return sum;
     };
     while (covered() < need.slots) {
-      const Offer* best = CheapestStandby(need.usual, offers, free, of_a_zone);
+      const Offer* best =
+          CheapestHeadroomOffer(need.usual, offers, free, of_a_zone);
       if (!best) break;
       ++(*wanted)[best->Key()];
       coming(*best->type, best->zone, best->spot, 1);
@@ -636,11 +643,11 @@
   }
 }
 
-void Fleet::Plan() {
+void Autoscaler::Plan() {
   std::map<std::string, int> wanted;
   PlanCheap(&wanted);
   PlanDear(&wanted);
-  PlanStandby(&wanted);
+  PlanHeadroom(&wanted);
   const std::vector<Offer> offers = Offers();
   double planned = 0;
   for (const auto& [name, machine] : machines_->all())
@@ -673,7 +680,7 @@
   }
 }
 
-int Fleet::MostPerRent() const {
+int Autoscaler::MostPerRent() const {
   const size_t bytes = limits_->value_bytes();
   const size_t names = bytes > kRentRecordBytes
                            ? (bytes - kRentRecordBytes) / kMachineNameBytes
@@ -681,7 +688,7 @@
   return std::clamp(static_cast<int>(names), 1, kMaxPerRent);
 }
 
-void Fleet::Begin(const Offer& offer, int count) {
+void Autoscaler::Begin(const Offer& offer, int count) {
   RentRecord record;
   record.name =
       "r-" + std::to_string(term_) + "-" + std::to_string(++next_rent_);
@@ -696,8 +703,8 @@
   rent.record = record;
   rent.began = context_->now;
   rents_[record.name] = std::move(rent);
-  // The record comes before the call: guards against a machine that a crash
-  // between the two would leave without an owner.
+  // The record comes before the call: guards against a machine that a
+  // crash between the two would leave without an owner.
   writer_->Put(
       keys::Rent(record.name), wire::EncodeRentRecord(record),
       {[this, name = record.name] {
@@ -708,7 +715,7 @@
        [this, name = record.name] { rents_.erase(name); }, /*urgent=*/true});
 }
 
-void Fleet::CallRent(const std::string& name) {
+void Autoscaler::CallRent(const std::string& name) {
   OpenRent& rent = rents_[name];
   rent.calling = true;
   context_->Rent(
@@ -739,7 +746,7 @@
         open.record.answered = true;
         open.record.machines = result.machines;
         for (const std::string& machine_name : result.machines) {
-          if (machines_->Gone(machine_name)) continue;
+          if (machines_->IsGone(machine_name)) continue;
           Machine* machine = machines_->Find(machine_name);
           if (!machine) {
             machine = machines_->Add(machine_name);
@@ -749,7 +756,7 @@
             machine->spot = open.record.spot;
             machine->rented_at = open.began;
           }
-          machine->vouched = true;
+          machine->identity_confirmed = true;
           if (!machine->recorded) open.unsettled.insert(machine_name);
         }
         if (open.unsettled.empty())
@@ -759,7 +766,7 @@
       });
 }
 
-void Fleet::Settled(const std::string& machine) {
+void Autoscaler::Settled(const std::string& machine) {
   std::vector<std::string> ended;
   for (auto& [name, rent] : rents_)
     if (rent.unsettled.erase(machine) > 0 && rent.unsettled.empty() &&
@@ -768,12 +775,12 @@
   for (const std::string& name : ended) EndRent(name);
 }
 
-void Fleet::EndRent(const std::string& name) {
+void Autoscaler::EndRent(const std::string& name) {
   rents_.erase(name);
   writer_->Remove(keys::Rent(name));
 }
 
-double Fleet::PricePerCore(const Machine& machine) {
+double Autoscaler::PricePerCore(const Machine& machine) {
   const double price =
       machine.spot ? machine.type->spot_price : machine.type->price;
   return price / std::max(1.0, machine.type->cpus);
@@ -782,11 +789,11 @@
 // The cheapest machines, the oldest among equals, are the base, up to its
 // target. The target follows the load that is seen, under the operators' share
 // of the guarantees.
-void Fleet::ChooseBase() {
+void Autoscaler::ChooseBase() {
   std::vector<Machine*> usable;
   double used = 0;
   for (auto& [name, machine] : machines_->all()) {
-    machine->base = false;
+    machine->baseline = false;
     used += machine->cpus_used;
     if (machine->InService()) usable.push_back(machine.get());
   }
@@ -800,74 +807,75 @@
                    });
   double cpus = 0;
   for (Machine* machine : usable) {
-    machine->base = cpus < base_target_;
-    if (machine->base) cpus += machine->type->cpus;
+    machine->baseline = cpus < base_target_;
+    if (machine->baseline) cpus += machine->type->cpus;
   }
 }
 
 // When the cheaper machines can do all the work there is within the drain time,
 // the dearer ones get no more of it: they empty and go.
-void Fleet::ChooseSurplus() {
+void Autoscaler::ChooseSurplus() {
   std::vector<Machine*> up;
   double capacity = 0, demand = 0;
   for (auto& [name, machine] : machines_->all()) {
-    machine->was_surplus = std::exchange(machine->surplus, false);
+    machine->was_excess = std::exchange(machine->excess, false);
     if (!machine->InService()) continue;
     up.push_back(machine.get());
     capacity += machine->type->cpus;
-    for (const auto& [key, placed] : machine->tasks)
+    for (const auto& [key, attempt] : machine->attempts)
       if (const Job* job = jobs_->Find(key.first))
         demand += Cores(job->spec(), *machine->type);
   }
   if (up.empty()) return;
   std::map<std::string, double> team_left = TeamLeft();
   for (const Job* job : jobs_->queue())
-    demand += Startable(*job, &team_left) *
+    demand += MayStartTask(*job, &team_left) *
               CoreSeconds(job->spec(), *up[0]->type, policy_.drain_s) /
               policy_.drain_s;
   // The dearest first; among equals those that are emptying already, then those
   // that will be empty soonest.
   const auto rank = [](const Machine* m) {
-    return std::make_tuple(m->base, -PricePerCore(*m), !m->was_surplus,
+    return std::make_tuple(m->baseline, -PricePerCore(*m), !m->was_excess,
                            m->cpus_used / m->type->cpus);
   };
   std::stable_sort(
       up.begin(), up.end(),
       [&](const Machine* a, const Machine* b) { return rank(a) < rank(b); });
   for (Machine* machine : up) {
-    if (machine->base) break;
+    if (machine->baseline) break;
     if (machine->for_services) continue;
-    if ((capacity - machine->type->cpus) < demand * kSurplusMargin) continue;
-    machine->surplus = true;
+    if ((capacity - machine->type->cpus) < demand * kExcessMargin) continue;
+    machine->excess = true;
     capacity -= machine->type->cpus;
   }
-  EmptySurplus(up);
+  DrainExcessMachines(up);
 }
 
-// Moves what can save its progress off surplus machines, when all that is on
+// Moves what can save its progress off excess machines, when all that is on
 // one can and the others have the room now: the dear ones whatever they hold,
 // the rest once they are half empty.
-void Fleet::EmptySurplus(const std::vector<Machine*>& first) {
+void Autoscaler::DrainExcessMachines(const std::vector<Machine*>& first) {
   double room = 0, cheapest = PricePerCore(*first.front());
   for (const Machine* machine : first) {
-    if (!machine->surplus) room += machine->cpus_free();
+    if (!machine->excess) room += machine->cpus_free();
     cheapest = std::min(cheapest, PricePerCore(*machine));
   }
   for (Machine* machine : first) {
-    if (!machine->surplus || machine->tasks.empty()) continue;
+    if (!machine->excess || machine->attempts.empty()) continue;
     const bool dear = PricePerCore(*machine) >= cheapest * kDearRatio;
     if (!dear && machine->cpus_used > machine->type->cpus * kMoveUsedShare)
       continue;
     const double needed = machine->cpus_used * kMoveRoom;
     if (needed > room ||
-        !std::all_of(
-            machine->tasks.begin(), machine->tasks.end(),
-            [&](const auto& item) { return placement_->Movable(item.second); }))
+        !std::all_of(machine->attempts.begin(), machine->attempts.end(),
+                     [&](const auto& item) {
+                       return placement_->IsPreemptible(item.second);
+                     }))
       continue;
     room -= needed;
-    for (auto& [key, placed] : machine->tasks) {
-      placed.stop = true;
-      placed.stop_grace_s = jobs_->Find(key.first)->spec().save_s + 1;
+    for (auto& [key, attempt] : machine->attempts) {
+      attempt.stop = true;
+      attempt.stop_grace_s = jobs_->Find(key.first)->spec().save_s + 1;
     }
     context_->Info("emptying " + machine->name);
   }
--- a/src/core/autoscaling/fleet.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "core/coordination/state_limits.h"
-#include "core/coordination/writer.h"
+#include "core/coordination/state_writer.h"
 #include "core/engine/context.h"
 #include "core/jobs/job_table.h"
 #include "core/machines/machine_table.h"
@@ -17,11 +17,12 @@
 
 namespace sorrelwood {
 
-class Fleet {
+class Autoscaler {
  public:
-  Fleet(Context* context, JobTable* jobs, MachineTable* machines,
-        Placement* placement, Writer* writer, const StateLimitTracker* limits,
-        const ClusterSettings* settings, const PolicySettings& policy)
+  Autoscaler(Context* context, JobTable* jobs, MachineTable* machines,
+             Placement* placement, StateWriter* writer,
+             const StateLimitTracker* limits, const ClusterSettings* settings,
+             const PolicySettings& policy)
       : context_(context),
         jobs_(jobs),
         machines_(machines),
@@ -31,14 +32,15 @@
         settings_(settings),
         policy_(policy) {}
 
-  void LearnCatalog(const std::vector<MachineType>& types);
+  void UpdateCatalog(const std::vector<MachineType>& types);
   const MachineType* FindType(const std::string& name) const;
 
   // A new leader takes over the records of the one before.
   void Load(uint64_t term, const std::vector<RentRecord>& rents);
   void Clear();
-  // `launch_until`: when this leader's leave to act ends unless it is renewed.
-  void Tick(bool may_launch, double launch_until);
+  // `dispatch_deadline`: when this leader's leave to act ends unless it is
+  // renewed.
+  void Tick(bool may_dispatch, double dispatch_deadline);
 
   // Returns the machine; its tasks count as on it until the cloud confirms.
   void Return(Machine* machine, const std::string& why);
@@ -86,10 +88,10 @@
   std::vector<Room> Rooms(double drain_s) const;
   static bool InPlan(const Machine& machine);
   static bool HoldsReplicas(const Machine& machine);
-  const Offer* CheapestStandby(const UsualJob& usual,
-                               const std::vector<Offer>& offers,
-                               const std::map<std::string, double>& free,
-                               double of_a_zone) const;
+  const Offer* CheapestHeadroomOffer(const ClassProfile& usual,
+                                     const std::vector<Offer>& offers,
+                                     const std::map<std::string, double>& free,
+                                     double of_a_zone) const;
   // How far a machine counts as room: less the later its start is.
   double Coming(const Machine& machine) const;
   // When the machines that came up were rented, in order, by type.
@@ -106,11 +108,11 @@
   void PlanDear(std::map<std::string, int>* wanted);
   // Rents room for replicas that are yet to come, as far as what is up, booting
   // or `wanted` does not hold it.
-  void PlanStandby(std::map<std::string, int>* wanted);
+  void PlanHeadroom(std::map<std::string, int>* wanted);
   // What replicas that are yet to come may need, of classes seen and not.
-  std::vector<Placement::Standby> StandbyNeeds() const;
+  std::vector<Placement::Headroom> HeadroomNeeds() const;
   // Chooses the machines that hold replicas or the room for further ones.
-  void ChooseStandby();
+  void ChooseHeadroomMachines();
   // The offer that does `count` tasks of the job for the least.
   const Offer* Cheapest(const Job& job, double count, bool dear,
                         const std::vector<Offer>& offers,
@@ -120,8 +122,8 @@
   static double ZoneLeft(const Job& job, const std::string& zone,
                          const std::map<std::string, double>& planned);
   // Pending tasks that the team's limit lets run beside what runs already.
-  double Startable(const Job& job,
-                   std::map<std::string, double>* team_left) const;
+  double MayStartTask(const Job& job,
+                      std::map<std::string, double>* team_left) const;
   std::map<std::string, double> TeamLeft() const;
   bool JobAllows(const Job& job, const MachineType& type,
                  const std::string& zone, bool spot) const;
@@ -138,7 +140,7 @@
   static double PricePerCore(const Machine& machine);
   void ChooseBase();
   void ChooseSurplus();
-  void EmptySurplus(const std::vector<Machine*>& first);
+  void DrainExcessMachines(const std::vector<Machine*>& first);
   void ReturnIdle();
   void SendReturns();
 
@@ -146,7 +148,7 @@
   JobTable* jobs_;
   MachineTable* machines_;
   Placement* placement_;
-  Writer* writer_;
+  StateWriter* writer_;
   const StateLimitTracker* limits_;
   const ClusterSettings* settings_;
   PolicySettings policy_;
--- a/src/core/balance/bounded_placement.cc
+++ b/src/core/balance/bounded_placement.cc
@@ -4,7 +4,8 @@
 
 namespace sorrelwood {
 
-bool BoundedPlacement::Crowds(const Job& job, const Machine& machine) const {
+bool BoundedPlacement::WouldCrowd(const Job& job,
+                                  const Machine& machine) const {
   if (!bounds_.Allow(job, machine)) return true;
   // Fetches share the machine's rate: one more would hold up all of them.
   return !machine.HasImage(job.spec().image) &&
--- a/src/core/balance/bounded_placement.h
+++ b/src/core/balance/bounded_placement.h
@@ -18,7 +18,7 @@
       : spread_(spread), bounds_(jobs, machines, settings, spread) {}
 
   void Update(double now) override { bounds_.Update(now); }
-  bool Crowds(const Job& job, const Machine& machine) const override;
+  bool WouldCrowd(const Job& job, const Machine& machine) const override;
   uint64_t TieBreak(const Job& job, const Machine& machine) const override;
 
  private:
--- a/src/core/balance/imbalance.cc
+++ b/src/core/balance/imbalance.cc
@@ -10,9 +10,9 @@
 // The largest task that the team has on the machine: one task is no crowd.
 double LargestTask(const Machine& machine, const std::string& team) {
   double largest = 0;
-  for (const auto& [key, placed] : machine.tasks)
-    if (placed.record->spec.team == team)
-      largest = std::max(largest, placed.cpus);
+  for (const auto& [key, attempt] : machine.attempts)
+    if (attempt.record->spec.team == team)
+      largest = std::max(largest, attempt.cpus);
   return largest;
 }
 
@@ -38,25 +38,25 @@
   return crowded;
 }
 
-double ImbalanceMeter::Movable(const CrowdedMachine& crowded,
-                               SpareCpus* spare) {
+double ImbalanceMeter::IsPreemptible(const CrowdedMachine& crowded,
+                                     SpareCpus* spare) {
   double movable = 0;
-  for (const auto& [key, placed] : crowded.machine->tasks) {
+  for (const auto& [key, attempt] : crowded.machine->attempts) {
     if (movable >= crowded.excess_cpus) break;
     for (auto& [place, cpus] : *spare) {
       const auto& [type, zone, spot] = place;
-      if (cpus < placed.cpus ||
-          !Placement::AllowsPlace(placed.record->spec, *type, zone, spot))
+      if (cpus < attempt.cpus ||
+          !Placement::AllowsLocation(attempt.record->spec, *type, zone, spot))
         continue;
-      cpus -= placed.cpus;
-      movable += placed.cpus;
+      cpus -= attempt.cpus;
+      movable += attempt.cpus;
       break;
     }
   }
   return std::min(movable, crowded.excess_cpus);
 }
 
-Imbalance ImbalanceMeter::Measure(MachineTable* machines) const {
+Imbalance ImbalanceMeter::CollectStatistics(MachineTable* machines) const {
   Imbalance imbalance;
   SpareCpus spare;
   double used_cpus = 0;
@@ -77,7 +77,7 @@
                    });
   double movable = 0;
   for (const CrowdedMachine& crowded : imbalance.crowded)
-    movable += Movable(crowded, &spare);
+    movable += IsPreemptible(crowded, &spare);
   if (used_cpus > 0) imbalance.share = movable / used_cpus;
   return imbalance;
 }
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -37,25 +37,25 @@
   evening_out_ = false;
 }
 
-void Rebalancer::Tick(bool may_launch) {
+void Rebalancer::Tick(bool may_dispatch) {
   if (!spread_.moves || context_->now < next_tick_) return;
   next_tick_ = context_->now + kRebalanceEveryS;
   GiveUpLate();
   bounds_.Update(context_->now);
-  const Imbalance imbalance = meter_.Measure(machines_);
+  const Imbalance imbalance = meter_.CollectStatistics(machines_);
   imbalance_ = imbalance.share;
   const bool may_even_out = MayMove();
-  // While machines are unaccounted for, what is stopped might not start again.
-  if (!may_launch || placement_->unaccounted() > 0) return;
+  // While machines are unreconciled for, what is stopped might not start again.
+  if (!may_dispatch || placement_->unreconciled() > 0) return;
   CollectTargets();
   if (targets_.empty()) return;
   if (may_even_out) MoveOffCrowded(imbalance.crowded);
   MoveOffSlow();
 }
 
-// Hysteresis: guards against moves to and fro about one threshold. They begin
-// once the fleet has been uneven for a while, go on until it is well within the
-// margin, and then rest.
+// Hysteresis: guards against moves to and fro about one threshold. They
+// begin once the fleet has been uneven for a while, go on until it is well
+// within the margin, and then rest.
 bool Rebalancer::MayMove() {
   if (imbalance_ < spread_.begin_imbalance) uneven_since_ = 0;
   if (imbalance_ >= spread_.begin_imbalance && uneven_since_ == 0)
@@ -73,9 +73,9 @@
 void Rebalancer::CollectTargets() {
   targets_.Clear();
   for (auto& [name, machine] : machines_->all()) {
-    if (!LoadBounds::Counts(*machine) || !placement_->Usable(*machine) ||
+    if (!LoadBounds::Counts(*machine) || !placement_->AcceptsTasks(*machine) ||
         machine->cpus_free() <= 0 || speeds_.IsSlow(name) ||
-        machine->cpus_used + machine->held_cpus >= bounds_.OfAll(*machine))
+        machine->cpus_used + machine->reserved_cpus >= bounds_.OfAll(*machine))
       continue;
     targets_.Add(machine.get());
   }
@@ -88,11 +88,11 @@
 void Rebalancer::MoveOffSlow() {
   for (auto& [name, machine] : machines_->all()) {
     if (!LoadBounds::Counts(*machine) || !speeds_.IsSlow(name)) continue;
-    for (auto& [key, placed] : machine->tasks) {
-      if (!WorthMoving(key, placed)) continue;
+    for (auto& [key, attempt] : machine->attempts) {
+      if (!WorthMoving(key, attempt)) continue;
       const Job* job = jobs_->Find(key.first);
       if (Machine* to = ChooseTarget(*job, *machine))
-        Begin(key, &placed, machine.get(), to, MoveReason::kSlow);
+        Begin(key, &attempt, machine.get(), to, MoveReason::kSlow);
     }
   }
 }
@@ -100,36 +100,38 @@
 void Rebalancer::Relieve(CrowdedMachine* crowded) {
   Machine* machine = crowded->machine;
   // What is leaving already counts as gone.
-  for (const auto& [key, placed] : machine->tasks)
-    if (placed.stop) crowded->excess_cpus -= placed.cpus;
-  for (auto& [key, placed] : machine->tasks) {
+  for (const auto& [key, attempt] : machine->attempts)
+    if (attempt.stop) crowded->excess_cpus -= attempt.cpus;
+  for (auto& [key, attempt] : machine->attempts) {
     if (crowded->excess_cpus <= 0) return;
-    const std::string& team = placed.record->spec.team;
+    const std::string& team = attempt.record->spec.team;
     double* team_excess = nullptr;
     if (!crowded->excess_by_team.empty()) {
       const auto it = crowded->excess_by_team.find(team);
       if (it == crowded->excess_by_team.end() || it->second <= 0) continue;
       team_excess = &it->second;
     }
-    if (!WorthMoving(key, placed)) continue;
+    if (!WorthMoving(key, attempt)) continue;
     const Job* job = jobs_->Find(key.first);
     Machine* to = ChooseTarget(*job, *machine);
     if (!to) continue;
-    Begin(key, &placed, machine, to, MoveReason::kCrowded);
-    crowded->excess_cpus -= placed.cpus;
-    if (team_excess) *team_excess -= placed.cpus;
+    Begin(key, &attempt, machine, to, MoveReason::kCrowded);
+    crowded->excess_cpus -= attempt.cpus;
+    if (team_excess) *team_excess -= attempt.cpus;
   }
 }
 
-bool Rebalancer::WorthMoving(const TaskKey& key, const Placed& placed) const {
-  const JobSpec& spec = placed.record->spec;
-  if (placed.phase != PlacedPhase::kPresent ||
-      placed.state != TaskState::kRunning || placed.stop || !placed.job_live)
+bool Rebalancer::WorthMoving(const TaskKey& key,
+                             const TaskAttempt& attempt) const {
+  const JobSpec& spec = attempt.record->spec;
+  if (attempt.phase != AttemptPhase::kConfirmed ||
+      attempt.state != TaskState::kRunning || attempt.stop ||
+      !attempt.job_active)
     return false;
-  const double ran_s = context_->now - placed.running_since;
+  const double ran_s = context_->now - attempt.running_since;
   const bool loses_little = spec.IsService()
-                                ? placed.stable && ran_s > kMoveAfterS
-                                : placement_->Movable(placed);
+                                ? attempt.stable && ran_s > kMoveAfterS
+                                : placement_->IsPreemptible(attempt);
   if (!loses_little) return false;
   const Job* job = jobs_->Find(key.first);
   if (!job || job->finishing || job->failing()) return false;
@@ -141,9 +143,9 @@
 
 bool Rebalancer::CanTake(const Job& job, const Machine& target,
                          const Machine& from) const {
-  if (&target == &from || target.surplus || !placement_->Usable(target) ||
+  if (&target == &from || target.excess || !placement_->AcceptsTasks(target) ||
       !target.Fits(job.spec()) ||
-      !placement_->AllowedInsteadOf(job, target, from) ||
+      !placement_->IsEligibleAfterLeaving(job, target, from) ||
       !bounds_.Allow(job, target))
     return false;
   return target.HasImage(job.spec().image) ||
@@ -164,7 +166,7 @@
       ++context_->work;
       if (!CanTake(job, *machine, from)) continue;
       const double load =
-          (machine->cpus_used + machine->held_cpus) / machine->cpus();
+          (machine->cpus_used + machine->reserved_cpus) / machine->cpus();
       const std::pair<double, uint64_t> rank{
           load, ImageAffinity(spec.image, machine->name)};
       if (best && best_rank <= rank) continue;
@@ -176,22 +178,22 @@
   return nullptr;
 }
 
-void Rebalancer::Begin(const TaskKey& key, Placed* placed, Machine* from,
+void Rebalancer::Begin(const TaskKey& key, TaskAttempt* attempt, Machine* from,
                        Machine* to, MoveReason reason) {
-  const JobSpec& spec = placed->record->spec;
+  const JobSpec& spec = attempt->record->spec;
   if (!budget_.Allows(spec.team, key.first, context_->now)) return;
   budget_.Spend(spec.team, key.first, context_->now);
-  Move move{from->name,   to->name,          placed->cpus,
-            placed->gpus, placed->memory_gb, context_->now};
-  to->HoldPlace(move.cpus, move.gpus, move.memory_gb);
+  Move move{from->name,    to->name,           attempt->cpus,
+            attempt->gpus, attempt->memory_gb, context_->now};
+  to->ReserveCapacity(move.cpus, move.gpus, move.memory_gb);
   moves_[key] = move;
   moved_at_[key] = context_->now;
   if (Job* job = jobs_->Find(key.first))
     job->moved_ran_s[key.second] =
-        placed->ran_before_s + context_->now - placed->running_since;
+        attempt->ran_before_s + context_->now - attempt->running_since;
   ++begun_;
-  placed->stop = true;
-  placed->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
+  attempt->stop = true;
+  attempt->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
   char imbalance[16];
   std::snprintf(imbalance, sizeof(imbalance), "%.0f%%", imbalance_ * 100);
   context_->Info("moving " + key.first + "/" + std::to_string(key.second) +
@@ -199,13 +201,13 @@
                  ToString(reason) + ", imbalance " + imbalance);
 }
 
-void Rebalancer::FreePlace(const Move& move) {
+void Rebalancer::ReleaseCapacity(const Move& move) {
   if (Machine* to = machines_->Find(move.to))
-    to->FreePlace(move.cpus, move.gpus, move.memory_gb);
+    to->ReleaseCapacity(move.cpus, move.gpus, move.memory_gb);
 }
 
 void Rebalancer::GiveUp(Moves::iterator move, MoveFailure failure) {
-  FreePlace(move->second);
+  ReleaseCapacity(move->second);
   ++given_up_[failure];
   context_->Info("giving up the move of " + move->first.first + "/" +
                  std::to_string(move->first.second) + " to " + move->second.to +
@@ -230,17 +232,18 @@
   const auto move = moves_.find({job->id(), task});
   if (move == moves_.end()) return;
   Machine* to = machines_->Find(move->second.to);
-  const bool place_is_good = to && !to->surplus && placement_->Usable(*to) &&
-                             placement_->Allowed(*job, *to);
+  const bool place_is_good = to && !to->excess &&
+                             placement_->AcceptsTasks(*to) &&
+                             placement_->IsEligible(*job, *to);
   const bool may_start = job->pending.Contains(task) &&
-                         placement_->Startable(*job) &&
+                         placement_->MayStartTask(*job) &&
                          placement_->WithinQuota(*job);
   if (!place_is_good || !may_start) {
     GiveUp(move,
            place_is_good ? MoveFailure::kNotNow : MoveFailure::kPlaceLost);
     return;
   }
-  FreePlace(move->second);
+  ReleaseCapacity(move->second);
   moves_.erase(move);
   ++finished_;
   placement_->Assign(job, task, to, term);
@@ -251,7 +254,7 @@
   if (move != moves_.end()) GiveUp(move, MoveFailure::kJobEnded);
 }
 
-void Rebalancer::JobEnded(const std::string& job) {
+void Rebalancer::OnJobEnded(const std::string& job) {
   speeds_.ForgetJob(job);
   auto it = moves_.lower_bound({job, 0});
   while (it != moves_.end() && it->first.first == job) {
@@ -260,7 +263,7 @@
   }
 }
 
-void Rebalancer::MachineGone(const std::string& machine) {
+void Rebalancer::OnMachineGone(const std::string& machine) {
   speeds_.ForgetMachine(machine);
   for (auto it = moves_.begin(); it != moves_.end();) {
     const auto move = it++;
@@ -273,7 +276,7 @@
   if (spread_.moves) speeds_.Learn(job, machine, ran_s);
 }
 
-Rebalancer::Figures Rebalancer::Measure() const {
+Rebalancer::Statistics Rebalancer::CollectStatistics() const {
   return {imbalance_, moves_.size(), begun_, finished_, given_up_};
 }
 
--- a/src/core/balance/rebalancer.h
+++ b/src/core/balance/rebalancer.h
@@ -47,31 +47,31 @@
         meter_(&bounds_),
         budget_(spread) {}
 
-  // Measures, and begins moves while `may_launch`. Does nothing unless load
+  // Measures, and begins moves while `may_dispatch`. Does nothing unless load
   // spread is switched on.
-  void Tick(bool may_launch);
+  void Tick(bool may_dispatch);
   // The task is proved to be off its machine and is pending again: if it was
   // moving it goes to the place that is held for it.
   void Released(Job* job, uint32_t task, uint64_t term);
   // The task is complete: it moves nowhere. Called before its machine lets go
   // of it.
   void TaskDone(const std::string& job, uint32_t task);
-  void JobEnded(const std::string& job);
+  void OnJobEnded(const std::string& job);
   // Nothing may be placed on the machine any more.
-  void MachineGone(const std::string& machine);
+  void OnMachineGone(const std::string& machine);
   // A task of an array ran to its end without interruption.
   void LearnRunTime(const std::string& job, const std::string& machine,
                     double ran_s);
   // Another leads: moves under way are forgotten with all machines.
   void Clear();
 
-  struct Figures {
+  struct Statistics {
     double imbalance = 0;
     size_t under_way = 0;  // moves, each with a place that is held
     uint64_t begun = 0, finished = 0;
     std::map<MoveFailure, uint64_t> given_up;
   };
-  Figures Measure() const;
+  Statistics CollectStatistics() const;
 
  private:
   struct Move {
@@ -88,14 +88,14 @@
   // Moves tasks off the machine until `excess` is gone or nothing more can.
   void Relieve(CrowdedMachine* crowded);
   // Whether it loses little by a move and has long to go.
-  bool WorthMoving(const TaskKey& key, const Placed& placed) const;
+  bool WorthMoving(const TaskKey& key, const TaskAttempt& attempt) const;
   Machine* ChooseTarget(const Job& job, const Machine& from);
   bool CanTake(const Job& job, const Machine& target,
                const Machine& from) const;
-  void Begin(const TaskKey& key, Placed* placed, Machine* from, Machine* to,
-             MoveReason reason);
+  void Begin(const TaskKey& key, TaskAttempt* attempt, Machine* from,
+             Machine* to, MoveReason reason);
   void GiveUp(Moves::iterator move, MoveFailure failure);
-  void FreePlace(const Move& move);
+  void ReleaseCapacity(const Move& move);
   void GiveUpLate();
 
   Context* context_;
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -12,22 +12,24 @@
     : settings_(settings),
       context_(incarnation),
       limits_(settings_),
-      directory_(&context_, static_cast<double>(settings_.siblings.size() + 1) /
+      job_cache_(&context_, static_cast<double>(settings_.peers.size() + 1) /
                                 (settings_.state_rps * kWatchShare)),
-      leadership_(&context_, &directory_, settings_.node, settings_.lease_s,
-                  settings_.cancel_s),
-      front_desk_(&context_, &directory_, &limits_, &settings_),
-      scheduler_(&context_, &directory_, &leadership_, &settings_, &limits_,
+      election_(&context_, &job_cache_, settings_.node, settings_.lease_s,
+                settings_.cancel_s),
+      job_api_(&context_, &job_cache_, &limits_, &settings_),
+      scheduler_(&context_, &job_cache_, &election_, &settings_, &limits_,
                  policy, incarnation),
       incarnation_(incarnation) {
-  directory_.on_live = [this](const std::string& id) {
-    scheduler_.JobAppeared(id);
+  job_cache_.on_job_live = [this](const std::string& id) {
+    scheduler_.OnJobLive(id);
   };
-  directory_.on_final = [this](const std::string& id, FinalState state) {
-    scheduler_.JobEnded(id, state);
+  job_cache_.on_job_ended = [this](const std::string& id, FinalState state) {
+    scheduler_.OnJobEnded(id, state);
   };
-  leadership_.on_elected = [this] { scheduler_.Elected(); };
-  leadership_.on_deposed = [this] { scheduler_.Deposed(); };
+  election_.on_leadership_acquired = [this] {
+    scheduler_.OnLeadershipAcquired();
+  };
+  election_.on_leadership_lost = [this] { scheduler_.OnLeadershipLost(); };
 }
 
 void Controller::Begin(Time time) {
@@ -36,9 +38,9 @@
   context_.now = time.steady;
   context_.wall = time.wall;
   context_.work = 0;
-  if (began_ && gap_s > kStallS) {
+  if (began_ && gap_s > kProcessPauseThresholdS) {
     context_.Info("stood still for " + std::to_string(gap_s) + " s");
-    scheduler_.Stalled(gap_s);
+    scheduler_.OnProcessPause(gap_s);
   }
   began_ = true;
 }
@@ -47,49 +49,49 @@
 
 Actions Controller::Tick(Time time) {
   Begin(time);
-  directory_.Tick();
-  leadership_.Tick();
-  front_desk_.Tick();
+  job_cache_.Tick();
+  election_.Tick();
+  job_api_.Tick();
   scheduler_.Tick();
   if (!reading_catalog_ && context_.now >= next_catalog_) ReadCatalog();
-  if (context_.now >= next_note_) SendNote();
+  if (context_.now >= next_peer_status_) BroadcastPeerStatus();
   return End();
 }
 
 Actions Controller::Submit(Time time, uint64_t request, const JobSpec& spec) {
   Begin(time);
-  front_desk_.Submit(request, spec);
+  job_api_.Submit(request, spec);
   return End();
 }
 
 Actions Controller::Poll(Time time, uint64_t request, const std::string& job) {
   Begin(time);
-  front_desk_.Poll(request, job);
+  job_api_.Poll(request, job);
   return End();
 }
 
 Actions Controller::Cancel(Time time, uint64_t request,
                            const std::string& job) {
   Begin(time);
-  front_desk_.Cancel(request, job);
+  job_api_.Cancel(request, job);
   return End();
 }
 
-Actions Controller::Report(Time time, uint64_t request,
-                           const WorkerReport& report) {
+Actions Controller::OnHeartbeat(Time time, uint64_t request,
+                                const Heartbeat& heartbeat) {
   Begin(time);
-  leadership_.LearnTerm(report.token);
-  if (leadership_.MayAnswer()) {
-    scheduler_.Report(request, report);
+  election_.ObserveTerm(heartbeat.fencing_token);
+  if (election_.MayRenewWorkerLeases()) {
+    scheduler_.OnHeartbeat(request, heartbeat);
     return End();
   }
-  AnswerWorker answer;
+  HeartbeatResponse answer;
   answer.request = request;
-  answer.status = leadership_.leading() ? 503 : 421;
-  if (!leadership_.leading() && directory_.leader_known() &&
-      directory_.leader_version() != 0 &&
-      directory_.leader().node != settings_.node)
-    answer.redirect = directory_.leader().node;
+  answer.status = election_.leading() ? 503 : 421;
+  if (!election_.leading() && job_cache_.leader_known() &&
+      job_cache_.leader_version() != 0 &&
+      job_cache_.leader().node != settings_.node)
+    answer.redirect = job_cache_.leader().node;
   context_.out.push_back(std::move(answer));
   return End();
 }
@@ -107,19 +109,19 @@
   return End();
 }
 
-Actions Controller::Deliver(Time time, const DirectResult& result) {
+Actions Controller::Deliver(Time time, const PushResult& result) {
   Begin(time);
   context_.Deliver(result);
   return End();
 }
 
-Actions Controller::Note(Time time, const MeshNote& note) {
+Actions Controller::OnPeerStatus(Time time, const PeerStatus& note) {
   Begin(time);
-  leadership_.LearnTerm(note.term);
-  sibling_served_[note.node] = context_.now - note.served_ago_ms / 1000.0;
-  if (note.leader && note.term >= leadership_.highest_term()) {
+  election_.ObserveTerm(note.term);
+  peer_served_at_[note.node] = context_.now - note.served_ago_ms / 1000.0;
+  if (note.leader && note.term >= election_.highest_term()) {
     for (const JobCounts& counts : note.jobs)
-      if (KnownJob* known = directory_.FindLive(counts.id))
+      if (CachedJob* known = job_cache_.FindLive(counts.id))
         known->counts = counts;
   }
   return End();
@@ -130,9 +132,9 @@
   if (since == 0) return true;
   // Only what was served after that tells an outage from what ails us alone.
   const auto served = std::count_if(
-      sibling_served_.begin(), sibling_served_.end(),
+      peer_served_at_.begin(), peer_served_at_.end(),
       [&](const auto& item) { return item.second > since + kShutOutS; });
-  return static_cast<size_t>(served) * 2 < settings_.siblings.size() + 1;
+  return static_cast<size_t>(served) * 2 < settings_.peers.size() + 1;
 }
 
 void Controller::ReadCatalog() {
@@ -145,43 +147,43 @@
     }
     catalog_known_ = true;
     next_catalog_ = context_.now + kCatalogEveryS;
-    front_desk_.LearnCatalog(result.types);
-    scheduler_.LearnCatalog(result.types);
+    job_api_.UpdateCatalog(result.types);
+    scheduler_.UpdateCatalog(result.types);
   });
 }
 
-void Controller::SendNote() {
-  next_note_ = context_.now + 1;
-  MeshNote note;
+void Controller::BroadcastPeerStatus() {
+  next_peer_status_ = context_.now + 1;
+  PeerStatus note;
   note.node = settings_.node;
   note.incarnation = incarnation_;
-  note.sequence = ++notes_;
-  note.term = leadership_.highest_term();
-  note.leader = leadership_.leading();
+  note.sequence = ++peer_status_sequence_;
+  note.term = election_.highest_term();
+  note.leader = election_.leading();
   note.served_ago_ms = static_cast<uint32_t>(
       std::min(1e6, (context_.now - context_.served_at()) * 1000));
   std::map<std::string, JobCounts> counts;
   for (JobCounts& job : scheduler_.Counts()) {
-    if (KnownJob* known = directory_.FindLive(job.id)) known->counts = job;
+    if (CachedJob* known = job_cache_.FindLive(job.id)) known->counts = job;
     // Only what has changed, and now and then all: a note may be lost.
-    auto told = told_counts_.find(job.id);
-    if (told == told_counts_.end() || told->second.done != job.done ||
-        told->second.running != job.running || notes_ % 10 == 0)
+    auto told = sent_counts_.find(job.id);
+    if (told == sent_counts_.end() || told->second.done != job.done ||
+        told->second.running != job.running || peer_status_sequence_ % 10 == 0)
       note.jobs.push_back(job);
     counts[job.id] = job;
   }
-  told_counts_ = std::move(counts);
-  context_.out.push_back(MeshSend{std::move(note)});
+  sent_counts_ = std::move(counts);
+  context_.out.push_back(SendPeerStatus{std::move(note)});
 }
 
-Controller::Figures Controller::Measure() {
-  Figures figures;
-  figures.leading = leadership_.leading();
-  figures.may_launch = leadership_.MayLaunch();
-  figures.may_answer = leadership_.MayAnswer();
-  figures.term = leadership_.highest_term();
-  figures.scheduler = scheduler_.Measure();
-  return figures;
+Controller::Statistics Controller::CollectStatistics() {
+  Statistics statistics;
+  statistics.leading = election_.leading();
+  statistics.may_dispatch = election_.MayDispatch();
+  statistics.may_renew_worker_leases = election_.MayRenewWorkerLeases();
+  statistics.term = election_.highest_term();
+  statistics.scheduler = scheduler_.CollectStatistics();
+  return statistics;
 }
 
 }  // namespace sorrelwood
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <vector>
 
-#include "core/api/front_desk.h"
+#include "core/api/job_api.h"
 #include "core/controller/scheduler.h"
-#include "core/coordination/directory.h"
-#include "core/coordination/leadership.h"
+#include "core/coordination/job_cache.h"
+#include "core/coordination/leader_election.h"
 #include "core/engine/context.h"
 
 namespace sorrelwood {
@@ -30,19 +30,19 @@
   Actions Submit(Time time, uint64_t request, const JobSpec& spec);
   Actions Poll(Time time, uint64_t request, const std::string& job);
   Actions Cancel(Time time, uint64_t request, const std::string& job);
-  Actions Report(Time time, uint64_t request, const WorkerReport& report);
+  Actions OnHeartbeat(Time time, uint64_t request, const Heartbeat& heartbeat);
   Actions Deliver(Time time, const StateResult& result);
   Actions Deliver(Time time, const CloudResult& result);
-  Actions Deliver(Time time, const DirectResult& result);
-  Actions Note(Time time, const MeshNote& note);
+  Actions Deliver(Time time, const PushResult& result);
+  Actions OnPeerStatus(Time time, const PeerStatus& note);
 
-  struct Figures {
-    bool leading = false, may_launch = false, may_answer = false;
+  struct Statistics {
+    bool leading = false, may_dispatch = false, may_renew_worker_leases = false;
     uint64_t term = 0;
-    Scheduler::Figures scheduler;
+    Scheduler::Statistics scheduler;
   };
-  Figures Measure();
-  bool leading() const { return leadership_.leading(); }
+  Statistics CollectStatistics();
+  bool leading() const { return election_.leading(); }
   // False while the state service refuses this node but serves most others:
   // users are better off with them. In an outage nobody is, and all stay.
   bool Healthy() const;
@@ -54,24 +54,24 @@
   void Begin(Time time);
   Actions End();
   void ReadCatalog();
-  void SendNote();
+  void BroadcastPeerStatus();
 
   const ClusterSettings settings_;
   Context context_;
   StateLimitTracker limits_;
-  Directory directory_;
-  Leadership leadership_;
-  FrontDesk front_desk_;
+  JobCache job_cache_;
+  LeaderElection election_;
+  JobApi job_api_;
   Scheduler scheduler_;
   uint64_t incarnation_;
   bool began_ = false;  // an input has come
 
   bool catalog_known_ = false, reading_catalog_ = false;
-  double next_catalog_ = 0, next_note_ = 0;
-  uint64_t notes_ = 0;
-  std::map<std::string, JobCounts> told_counts_;
-  // When the state service last served each sibling, by its notes.
-  std::map<std::string, double> sibling_served_;
+  double next_catalog_ = 0, next_peer_status_ = 0;
+  uint64_t peer_status_sequence_ = 0;
+  std::map<std::string, JobCounts> sent_counts_;
+  // When the state service last served each peer, by its notes.
+  std::map<std::string, double> peer_served_at_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -11,64 +11,64 @@
 
 namespace sorrelwood {
 
-Scheduler::Scheduler(Context* context, Directory* directory,
-                     Leadership* leadership, const ClusterSettings* settings,
+Scheduler::Scheduler(Context* context, JobCache* job_cache,
+                     LeaderElection* election, const ClusterSettings* settings,
                      const StateLimitTracker* limits,
                      const PolicySettings& policy, uint64_t seed)
     : context_(context),
-      directory_(directory),
-      leadership_(leadership),
+      job_cache_(job_cache),
+      election_(election),
       settings_(settings),
       policy_(policy),
       placement_(context, &jobs_, &machines_, settings),
-      writer_(context, leadership, limits),
-      progress_(&jobs_, &writer_, limits),
-      fleet_(context, &jobs_, &machines_, &placement_, &writer_, limits,
-             settings, policy),
+      writer_(context, election, limits),
+      completions_(&jobs_, &writer_, limits),
+      autoscaler_(context, &jobs_, &machines_, &placement_, &writer_, limits,
+                  settings, policy),
       replicas_(context, &jobs_, &machines_, &placement_),
       preemption_(context, &jobs_, &machines_, &placement_, settings),
       waiting_(context, &jobs_, &machines_, policy, seed),
       spread_placement_(&jobs_, &machines_, settings, policy.spread),
       rebalancer_(context, &jobs_, &machines_, &placement_, settings,
                   policy.spread),
-      monitor_(context, &machines_, leadership, &fleet_, settings,
-               {[this](Machine* machine, const WorkerReport& report) {
-                  ApplyReport(machine, report, /*direct=*/true);
+      monitor_(context, &machines_, election, &autoscaler_, settings,
+               {[this](Machine* machine, const Heartbeat& heartbeat) {
+                  ApplyHeartbeat(machine, heartbeat, /*direct=*/true);
                 },
-                [this](Machine* machine) { DropUnsent(machine); },
-                [this](Machine* machine) { DropEverything(machine); }}) {
-  fleet_.on_gone = [this](Machine* machine) {
-    DropEverything(machine);
-    rebalancer_.MachineGone(machine->name);
+                [this](Machine* machine) { RemovePlannedAttempts(machine); },
+                [this](Machine* machine) { ForgetMachineContents(machine); }}) {
+  autoscaler_.on_gone = [this](Machine* machine) {
+    ForgetMachineContents(machine);
+    rebalancer_.OnMachineGone(machine->name);
   };
   if (policy.spread.placement) placement_.set_spread(&spread_placement_);
 }
 
-void Scheduler::LearnCatalog(const std::vector<MachineType>& types) {
-  fleet_.LearnCatalog(types);
-  unaccounted_.Recount(machines_.all());
+void Scheduler::UpdateCatalog(const std::vector<MachineType>& types) {
+  autoscaler_.UpdateCatalog(types);
+  unreconciled_.Recount(machines_.all());
 }
 
 // --- Taking over
 // -----------------------------------------------------------------
 
-void Scheduler::Elected() {
-  Deposed();
+void Scheduler::OnLeadershipAcquired() {
+  OnLeadershipLost();
   Load();
 }
 
-void Scheduler::Deposed() {
+void Scheduler::OnLeadershipLost() {
   active_ = false;
   reload_at_ = 0;
   ++generation_;
   monitor_.Begin();
   writer_.Clear();
-  fleet_.Clear();
+  autoscaler_.Clear();
   jobs_.Clear();
   machines_.Clear();
-  progress_.Clear();
-  complete_.clear();
-  unaccounted_.Clear();
+  completions_.Clear();
+  completed_jobs_.clear();
+  unreconciled_.Clear();
   rebalancer_.Clear();
 }
 
@@ -88,9 +88,9 @@
   step(keys::kMachine, [this, step](const StateResult& machines) {
     LoadMachines(machines);
     step(keys::kProgress, [this, step](const StateResult& progress) {
-      progress_.Load(progress);
+      completions_.Load(progress);
       step(keys::kLive, [this, step](const StateResult& live) {
-        directory_->LearnListing(live);
+        job_cache_->ApplyListing(live);
         step(keys::kRent,
              [this](const StateResult& rents) { Activate(rents); });
       });
@@ -101,113 +101,116 @@
 void Scheduler::LoadFailed() {
   ++generation_;
   machines_.Clear();
-  progress_.Clear();
-  reload_at_ = context_->now + kReloadPauseS;
+  completions_.Clear();
+  reload_at_ = context_->now + kRecoveryRetryS;
 }
 
 void Scheduler::LoadMachines(const StateResult& result) {
   for (const KeyValue& item : result.items) {
-    writer_.LearnVersion(item.key, item.version);
+    writer_.CacheVersion(item.key, item.version);
     MachineRecord record;
     if (!wire::ParseMachineRecord(item.value, &record)) continue;
     Machine* machine = machines_.Add(record.name);
     machine->address = record.address;
     machine->type_name = record.type;
-    machine->type = fleet_.FindType(record.type);
+    machine->type = autoscaler_.FindType(record.type);
     machine->zone = record.zone;
     machine->spot = record.spot;
     machine->recorded = true;
-    machine->inherited = true;
+    machine->from_earlier_term = true;
     machine->ever_reported = true;
-    machine->vouched = true;
-    machine->rented_at = machine->last_heard = machine->last_report =
-        machine->last_answered = machine->reached_at = context_->now;
+    machine->identity_confirmed = true;
+    machine->rented_at = machine->last_contact_at = machine->last_heartbeat_at =
+        machine->last_answered_at = machine->last_delivery_proof_at =
+            context_->now;
   }
 }
 
 void Scheduler::Activate(const StateResult& rents) {
   std::vector<RentRecord> records;
   for (const KeyValue& item : rents.items) {
-    writer_.LearnVersion(item.key, item.version);
+    writer_.CacheVersion(item.key, item.version);
     RentRecord record;
     if (wire::ParseRentRecord(item.value, &record)) records.push_back(record);
   }
   active_ = true;
-  fleet_.Load(leadership_->term(), records);
-  for (const auto& [id, known] : directory_->live()) JobAppeared(id);
-  progress_.EndLoading();
-  unaccounted_.Recount(machines_.all());
+  autoscaler_.Load(election_->term(), records);
+  for (const auto& [id, known] : job_cache_->live()) OnJobLive(id);
+  completions_.FinishLoading();
+  unreconciled_.Recount(machines_.all());
   context_->Info("took over " + std::to_string(jobs_.all().size()) +
                  " jobs and " + std::to_string(machines_.all().size()) +
                  " machines");
 }
 
-void Scheduler::JobAppeared(const std::string& id) {
+void Scheduler::OnJobLive(const std::string& id) {
   if (!active_) return;
-  const KnownJob* known = directory_->FindLive(id);
+  const CachedJob* known = job_cache_->FindLive(id);
   if (!known || jobs_.Find(id)) return;
-  const bool inherited = known->version < leadership_->guard().version;
-  Job* job = jobs_.Add(known->job, known->version, inherited, context_->now);
+  const bool from_earlier_term =
+      known->version < election_->leader_precondition().version;
+  Job* job =
+      jobs_.Add(known->job, known->version, from_earlier_term, context_->now);
   if (context_->debug)
     context_->Debug("new job " + id + " of " + job->spec().job_class + ", " +
                     std::to_string(job->spec().tasks) + " tasks, image " +
                     job->spec().image + ", team " + job->spec().team);
   next_rank_ = 0;  // with the next tick: a takeover brings hundreds at once
-  progress_.Restore(job);
-  if (job->done.size() == job->spec().tasks) complete_.push_back(id);
+  completions_.Restore(job);
+  if (job->done.size() == job->spec().tasks) completed_jobs_.push_back(id);
 }
 
-void Scheduler::JobEnded(const std::string& id, FinalState) {
+void Scheduler::OnJobEnded(const std::string& id, FinalState) {
   if (!active_) return;
   Job* job = jobs_.Find(id);
   if (!job) return;
   // Whatever of it may still be on a machine must go, and counts until then.
-  const auto placed = job->placed;
-  for (const auto& [task, name] : placed) {
+  const auto attempt = job->machine_of_task;
+  for (const auto& [task, name] : attempt) {
     Machine* machine = machines_.Find(name);
     if (!machine) continue;
-    auto it = machine->tasks.find({id, task});
-    if (it == machine->tasks.end()) continue;
-    it->second.job_live = false;
+    auto it = machine->attempts.find({id, task});
+    if (it == machine->attempts.end()) continue;
+    it->second.job_active = false;
     it->second.stop = true;
     it->second.stop_grace_s = 0;
-    if (it->second.phase == PlacedPhase::kAssigned) DropTask(machine, it);
+    if (it->second.phase == AttemptPhase::kPlanned) RemoveAttempt(machine, it);
   }
-  rebalancer_.JobEnded(id);
-  progress_.Remove(id);
+  rebalancer_.OnJobEnded(id);
+  completions_.Remove(id);
   jobs_.Remove(id);
 }
 
 // --- Hearing machines
 // ----------------------------------------------------------------
 
-void Scheduler::Report(uint64_t request, const WorkerReport& report) {
-  AnswerWorker answer;
+void Scheduler::OnHeartbeat(uint64_t request, const Heartbeat& heartbeat) {
+  HeartbeatResponse answer;
   answer.request = request;
-  answer.token = leadership_->term();
+  answer.fencing_token = election_->term();
   if (!active_) {
     // The records are not read yet: kept, given nothing.
-    answer.commands = StopEnded(report);
+    answer.commands = StopsForEndedJobs(heartbeat);
     context_->out.push_back(std::move(answer));
     return;
   }
-  Machine* machine = machines_.Find(report.machine);
-  if (!machine && !machines_.Gone(report.machine)) {
+  Machine* machine = machines_.Find(heartbeat.machine);
+  if (!machine && !machines_.IsGone(heartbeat.machine)) {
     // Not listed yet, or a late copy of a report of one that is gone: until it
-    // shows our token it only waits, and not for long (MachineMonitor).
-    machine = machines_.Add(report.machine);
-    machine->type_name = report.type;
-    machine->type = fleet_.FindType(report.type);
-    machine->zone = report.zone;
-    machine->spot = report.spot;
+    // shows our token it only waits, and not for long (HealthMonitor).
+    machine = machines_.Add(heartbeat.machine);
+    machine->type_name = heartbeat.type;
+    machine->type = autoscaler_.FindType(heartbeat.type);
+    machine->zone = heartbeat.zone;
+    machine->spot = heartbeat.spot;
   }
   // A report that is no newer than one that was answered is a copy, and so is
   // one of a machine that is gone. Guards against a copy that renews what we
   // believe of a lease.
   const bool copy =
-      !machine ||
-      std::make_pair(report.session, report.sequence) <=
-          std::make_pair(machine->answered_session, machine->answered_sequence);
+      !machine || std::make_pair(heartbeat.incarnation, heartbeat.sequence) <=
+                      std::make_pair(machine->answered_incarnation,
+                                     machine->answered_sequence);
   if (copy) {
     answer.status = 503;
     context_->out.push_back(std::move(answer));
@@ -216,33 +219,35 @@
   // One report is under way at a time, and without our answer the next goes to
   // another node: two in a row mean that the answer arrived. (Late copies may
   // come in a row too, but none shows our token.)
-  const bool in_a_row = report.token == leadership_->term() &&
-                        report.session == machine->answered_session &&
-                        report.sequence == machine->answered_sequence + 1;
+  const bool in_a_row =
+      heartbeat.fencing_token == election_->term() &&
+      heartbeat.incarnation == machine->answered_incarnation &&
+      heartbeat.sequence == machine->answered_sequence + 1;
   const bool first = machine->answered_sequence == 0;  // of this term
-  if (in_a_row || first) machine->reached_at = context_->now;
-  // After a silence the count starts again: it was cut off, not deaf.
-  const bool was_silent =
-      context_->now - machine->last_report > monitor_.LongSilence();
-  if (in_a_row || first || was_silent) machine->unproved_since = context_->now;
-  const bool newer = std::make_pair(report.session, report.sequence) >
-                     std::make_pair(machine->session, machine->sequence);
-  if (newer) ApplyReport(machine, report, /*direct=*/false);
-  if (machine->deaf) {
+  if (in_a_row || first) machine->last_delivery_proof_at = context_->now;
+  // After a silence the count starts again: it was cut off, not unreachable.
+  const bool was_silent = context_->now - machine->last_heartbeat_at >
+                          monitor_.UnreachableThreshold();
+  if (in_a_row || first || was_silent)
+    machine->delivery_unproven_since = context_->now;
+  const bool newer = std::make_pair(heartbeat.incarnation, heartbeat.sequence) >
+                     std::make_pair(machine->incarnation, machine->sequence);
+  if (newer) ApplyHeartbeat(machine, heartbeat, /*direct=*/false);
+  if (machine->unreachable) {
     // Not answered any more, so that its lease is known to run out.
     answer.status = 503;
     context_->out.push_back(std::move(answer));
     return;
   }
-  machine->answered_session = report.session;
-  machine->answered_sequence = report.sequence;
-  machine->last_answered = context_->now;
-  if (newer && report.token == leadership_->term()) {
-    CountUnaccounted();
-    placement_.Fill(machine, leadership_->term());
-    answer.commands = Orders(machine, report);
+  machine->answered_incarnation = heartbeat.incarnation;
+  machine->answered_sequence = heartbeat.sequence;
+  machine->last_answered_at = context_->now;
+  if (newer && heartbeat.fencing_token == election_->term()) {
+    UpdateUnreconciled();
+    placement_.FillMachine(machine, election_->term());
+    answer.commands = SelectCommands(machine, heartbeat);
   } else {
-    answer.commands = StopEnded(report);
+    answer.commands = StopsForEndedJobs(heartbeat);
   }
   context_->out.push_back(std::move(answer));
 }
@@ -251,182 +256,191 @@
 // an order to stop them: of a leader that has not read its records yet, perhaps
 // for a whole outage, and of leaders that change so fast that no report shows
 // the token of the one that hears it.
-std::vector<Command> Scheduler::StopEnded(const WorkerReport& report) const {
+std::vector<Command> Scheduler::StopsForEndedJobs(
+    const Heartbeat& heartbeat) const {
   std::vector<Command> stops;
-  for (const TaskReport& task : report.tasks)
-    if (task.state != TaskState::kExited && !directory_->FindLive(task.job))
+  for (const TaskStatus& task : heartbeat.tasks)
+    if (task.state != TaskState::kExited && !job_cache_->FindLive(task.job))
       stops.push_back(
           {CommandKind::kStop, task.job, task.task, task.attempt, 0});
   return stops;
 }
 
-void Scheduler::ApplyReport(Machine* machine, const WorkerReport& report,
-                            bool direct) {
+void Scheduler::ApplyHeartbeat(Machine* machine, const Heartbeat& heartbeat,
+                               bool direct) {
   if (!machine->ever_reported) {
     machine->ever_reported = true;
     machine->came_up_at = context_->now;
     machine->rented_at = std::min(machine->rented_at, context_->now);
   }
-  machine->last_heard = context_->now;
-  if (!direct) machine->last_report = context_->now;
-  if (!report.address.empty()) machine->address = report.address;
-  if (report.session != machine->session) NewSession(machine, report.session);
-  machine->sequence = report.sequence;
-  if (report.token > leadership_->term()) {
-    leadership_->LearnTerm(report.token);
+  machine->last_contact_at = context_->now;
+  if (!direct) machine->last_heartbeat_at = context_->now;
+  if (!heartbeat.address.empty()) machine->address = heartbeat.address;
+  if (heartbeat.incarnation != machine->incarnation)
+    OnNewIncarnation(machine, heartbeat.incarnation);
+  machine->sequence = heartbeat.sequence;
+  if (heartbeat.fencing_token > election_->term()) {
+    election_->ObserveTerm(heartbeat.fencing_token);
     return;
   }
   // One that we know otherwise than from this report is written down while it
   // is being shown our token.
-  if (machine->vouched && !machine->recorded) Record(machine);
-  if (report.token < leadership_->term()) {
+  if (machine->identity_confirmed && !machine->recorded) Record(machine);
+  if (heartbeat.fencing_token < election_->term()) {
     // It may be a late copy: what it holds is not believed before it has shown
     // our token, which no copy of an earlier term's report can. A result is one
     // for ever.
-    for (const TaskReport& task : report.tasks)
+    for (const TaskStatus& task : heartbeat.tasks)
       if (task.state == TaskState::kExited && task.reason == ExitReason::kDone)
-        ApplyTaskReport(machine, task);
+        ApplyTaskStatus(machine, task);
     return;
   }
-  machine->vouched = true;
+  machine->identity_confirmed = true;
   if (!machine->recorded) Record(machine);
-  if (report.notice_s && machine->notice_until == 0) {
-    machine->notice_until = context_->now + std::max(0.0, *report.notice_s);
-    NoticeGiven(machine);
+  if (heartbeat.preemption_notice_s && machine->preemption_deadline == 0) {
+    machine->preemption_deadline =
+        context_->now + std::max(0.0, *heartbeat.preemption_notice_s);
+    OnPreemptionNotice(machine);
   }
   std::set<TaskKey> present;
-  unaccounted_.ForgetUnknownTasks(*machine);
-  for (const TaskReport& task : report.tasks) {
+  unreconciled_.ForgetUnknownTasks(*machine);
+  for (const TaskStatus& task : heartbeat.tasks) {
     present.insert({task.job, task.task});
-    ApplyTaskReport(machine, task);
+    ApplyTaskStatus(machine, task);
   }
   std::vector<TaskKey> missing;
-  for (const auto& [key, placed] : machine->tasks) {
+  for (const auto& [key, attempt] : machine->attempts) {
     if (present.count(key)) continue;
     // Proof of absence: the report was sent after the one that the launch
     // answered, so that answer was dropped or the task has gone. An answer to a
     // direct command proves nothing about a launch still under way.
     const bool answer_dropped =
-        placed.phase == PlacedPhase::kSent &&
-        (placed.sent_session != report.session ||
-         report.sequence > placed.sent_sequence) &&
-        (!direct || context_->now - placed.sent_at >
-                        kReportAnswerS + kDirectTimeoutS + kReachMarginS);
-    const bool ended = placed.phase == PlacedPhase::kPresent && !direct;
+        attempt.phase == AttemptPhase::kDispatched &&
+        (attempt.dispatched_incarnation != heartbeat.incarnation ||
+         heartbeat.sequence > attempt.dispatched_sequence) &&
+        (!direct ||
+         context_->now - attempt.dispatched_at >
+             kHeartbeatAnswerTimeoutS + kPushTimeoutS + kWorkerLeaseMarginS);
+    const bool ended = attempt.phase == AttemptPhase::kConfirmed && !direct;
     if (answer_dropped || ended) missing.push_back(key);
   }
   for (const TaskKey& key : missing) {
-    auto it = machine->tasks.find(key);
-    if (it != machine->tasks.end()) DropTask(machine, it);
+    auto it = machine->attempts.find(key);
+    if (it != machine->attempts.end()) RemoveAttempt(machine, it);
   }
-  for (auto it = machine->finished.begin(); it != machine->finished.end();)
-    it = present.count(it->first) ? std::next(it) : machine->finished.erase(it);
+  for (auto it = machine->unrecorded_completions.begin();
+       it != machine->unrecorded_completions.end();)
+    it = present.count(it->first) ? std::next(it)
+                                  : machine->unrecorded_completions.erase(it);
   // Only a machine that shows our token takes no orders from an earlier leader
   // any more: until then its report may miss a launch of his.
-  if (!machine->heard) {
-    machine->heard = true;
-    machine->inherited = false;
+  if (!machine->token_acknowledged) {
+    machine->token_acknowledged = true;
+    machine->from_earlier_term = false;
     // Until it showed our token an earlier leader may have answered it: its
     // lease counts from now. Guards against taking its tasks for gone while
     // they run, where it was shown the token directly and then fell silent.
-    machine->last_answered = context_->now;
-    machine->unproved_since = machine->reached_at = context_->now;
-    unaccounted_.Update(*machine);
+    machine->last_answered_at = context_->now;
+    machine->delivery_unproven_since = machine->last_delivery_proof_at =
+        context_->now;
+    unreconciled_.Update(*machine);
   }
 }
 
-// A higher session: the worker killed and forgot all that it had.
-void Scheduler::NewSession(Machine* machine, uint64_t session) {
-  DropAll(machine);
-  machine->finished.clear();
+// A higher incarnation: the worker killed and forgot all that it had.
+void Scheduler::OnNewIncarnation(Machine* machine, uint64_t incarnation) {
+  RemoveAllAttempts(machine);
+  machine->unrecorded_completions.clear();
   machine->images.clear();
-  machine->session = session;
+  machine->incarnation = incarnation;
   machine->sequence = 0;
 }
 
-void Scheduler::ApplyTaskReport(Machine* machine, const TaskReport& task) {
+void Scheduler::ApplyTaskStatus(Machine* machine, const TaskStatus& task) {
   const TaskKey key{task.job, task.task};
-  auto it = machine->tasks.find(key);
-  Placed* placed =
-      it == machine->tasks.end() || it->second.attempt != task.attempt
+  auto it = machine->attempts.find(key);
+  TaskAttempt* attempt =
+      it == machine->attempts.end() || it->second.number != task.attempt
           ? nullptr
           : &it->second;
   if (task.state == TaskState::kExited) {
-    ApplyTaskExit(machine, task, placed);
+    ApplyTaskExit(machine, task, attempt);
     return;
   }
-  if (!placed) {
-    Adopt(machine, task);
+  if (!attempt) {
+    AdoptAttempt(machine, task);
     return;
   }
-  placed->phase = PlacedPhase::kPresent;
-  if (task.state == TaskState::kRunning && placed->running_since == 0) {
-    placed->running_since = context_->now;
-    machine->EndFetch(placed->record->spec.image);
+  attempt->phase = AttemptPhase::kConfirmed;
+  if (task.state == TaskState::kRunning && attempt->running_since == 0) {
+    attempt->running_since = context_->now;
+    machine->FinishFetch(attempt->record->spec.image);
     if (context_->debug)
       context_->Debug("running " + task.job + "/" + std::to_string(task.task) +
                       " on " + machine->name);
     if (Job* job = jobs_.Find(task.job)) waiting_.LearnStart(job, *machine);
   }
-  placed->state = task.state;
-  if (!placed->record->spec.IsService()) return;
+  attempt->state = task.state;
+  if (!attempt->record->spec.IsService()) return;
   Job* job = jobs_.Find(task.job);
-  if (!job || !replicas_.BecameStable(job, task.task, placed)) return;
-  Succeeded(machine);
-  Succeeded(job);
+  if (!job || !replicas_.BecameStable(job, task.task, attempt)) return;
+  OnTaskSucceeded(machine);
+  OnTaskSucceeded(job);
 }
 
 // A task that an earlier leader placed, or that nobody should have.
-void Scheduler::Adopt(Machine* machine, const TaskReport& task) {
+void Scheduler::AdoptAttempt(Machine* machine, const TaskStatus& task) {
   Job* job = jobs_.Find(task.job);
   const TaskKey key{task.job, task.task};
   if (!job || task.task >= job->spec().tasks) {
     // Of a job that has ended; what it takes of a limit is not known.
-    unaccounted_.AddUnknownTask(*machine);
+    unreconciled_.AddUnknownTask(*machine);
     return;
   }
-  if (machine->tasks.count(key)) return;  // with another attempt: judged by it
-  auto elsewhere = job->placed.find(task.task);
-  if (elsewhere != job->placed.end()) {
+  if (machine->attempts.count(key))
+    return;  // with another attempt: judged by it
+  auto elsewhere = job->machine_of_task.find(task.task);
+  if (elsewhere != job->machine_of_task.end()) {
     Machine* other = machines_.Find(elsewhere->second);
-    auto it = other ? other->tasks.find(key) : decltype(machine->tasks.end())();
+    auto it =
+        other ? other->attempts.find(key) : decltype(machine->attempts.end())();
     // Only chosen, not sent: the one that is there stays.
-    if (other && it != other->tasks.end() &&
-        it->second.phase == PlacedPhase::kAssigned)
-      DropTask(other, it);
+    if (other && it != other->attempts.end() &&
+        it->second.phase == AttemptPhase::kPlanned)
+      RemoveAttempt(other, it);
     else
-      return;  // stopped by Orders: it is not ours
-  }
-  Placed placed;
-  placed.attempt = task.attempt;
-  placed.cpus = job->spec().cpus;
-  placed.gpus = job->spec().gpus;
-  placed.memory_gb = job->spec().memory_gb;
-  placed.record = job->record;
-  placed.phase = PlacedPhase::kPresent;
-  placed.state = task.state;
-  placed.running_since = task.state == TaskState::kRunning ? context_->now : 0;
-  placed.speculative = !machine->base;
-  placed.stop = job->done.Contains(task.task);
+      return;  // stopped by SelectCommands: it is not ours
+  }
+  TaskAttempt attempt;
+  attempt.number = task.attempt;
+  attempt.cpus = job->spec().cpus;
+  attempt.gpus = job->spec().gpus;
+  attempt.memory_gb = job->spec().memory_gb;
+  attempt.record = job->record;
+  attempt.phase = AttemptPhase::kConfirmed;
+  attempt.state = task.state;
+  attempt.running_since = task.state == TaskState::kRunning ? context_->now : 0;
+  attempt.speculative = !machine->baseline;
+  attempt.stop = job->done.Contains(task.task);
   jobs_.Place(job, task.task, machine->name, machine->zone);
-  machine->Hold(key, std::move(placed));
-  machine->UseImage(job->spec().image);
+  machine->AddAttempt(key, std::move(attempt));
+  machine->TouchImage(job->spec().image);
 }
 
-void Scheduler::ApplyTaskExit(Machine* machine, const TaskReport& task,
-                              Placed* placed) {
+void Scheduler::ApplyTaskExit(Machine* machine, const TaskStatus& task,
+                              TaskAttempt* attempt) {
   const TaskKey key{task.job, task.task};
   Job* job = jobs_.Find(task.job);
-  const bool waiting = placed && placed->requeue_waiting;
-  const bool rented = placed && placed->requeue_rented;
-  const bool told_to_stop = placed && placed->stop;
-  const double ran = placed && placed->running_since > 0
-                         ? context_->now - placed->running_since
+  const bool waiting = attempt && attempt->requeue_for_baseline;
+  const bool rented = attempt && attempt->requeue_on_rented;
+  const bool told_to_stop = attempt && attempt->stop;
+  const double ran = attempt && attempt->running_since > 0
+                         ? context_->now - attempt->running_since
                          : 0;
   if (task.reason == ExitReason::kDone && job && !job->spec().IsService())
     rebalancer_.TaskDone(task.job, task.task);
-  if (placed) DropTask(machine, machine->tasks.find(key));
-  if (placed && !told_to_stop && job && job->spec().IsService() &&
+  if (attempt) RemoveAttempt(machine, machine->attempts.find(key));
+  if (attempt && !told_to_stop && job && job->spec().IsService() &&
       task.reason != ExitReason::kStopped)
     replicas_.Ended(job, task.task, ran);
   switch (task.reason) {
@@ -439,21 +453,22 @@
         jobs_.LearnRunTime(job->spec(), ran);
         rebalancer_.LearnRunTime(job->id(), machine->name, ran);
       }
-      Succeeded(machine);
-      machine->finished[key] = task.attempt;
-      Completed(job, task.task);
+      OnTaskSucceeded(machine);
+      machine->unrecorded_completions[key] = task.attempt;
+      OnTaskCompleted(job, task.task);
       return;
     case ExitReason::kError:
       // A replica that has run well tells nothing of its machine.
-      if (placed && job && !(job->spec().IsService() && ran >= kReplicaStableS))
-        Failed(machine, job, task.task);
+      if (attempt && job &&
+          !(job->spec().IsService() && ran >= kReplicaStableS))
+        OnTaskFailed(machine, job, task.task);
       return;
     case ExitReason::kNoRoom:
     case ExitReason::kBusy:
-      if (placed) machine->refused_until = context_->now + kRefusedPauseS;
+      if (attempt) machine->refused_until = context_->now + kRefusedStartPauseS;
       return;
     case ExitReason::kUnknown:
-      if (placed && job) job->retry_at = context_->now + kErrorPauseS;
+      if (attempt && job) job->retry_at = context_->now + kJobRetryPauseS;
       return;
     case ExitReason::kStopped:
     case ExitReason::kNone:
@@ -465,78 +480,80 @@
   }
 }
 
-void Scheduler::DropTask(Machine* machine,
-                         std::map<TaskKey, Placed>::iterator it) {
+void Scheduler::RemoveAttempt(Machine* machine,
+                              std::map<TaskKey, TaskAttempt>::iterator it) {
   const TaskKey key = it->first;
-  const Placed placed = machine->Drop(it);
+  const TaskAttempt attempt = machine->RemoveAttempt(it);
   Job* job = jobs_.Find(key.first);
-  if (!job || !placed.job_live) {
-    jobs_.AddStray(placed.record->spec.team, -placed.cpus, -placed.gpus);
+  if (!job || !attempt.job_active) {
+    jobs_.AddOrphanedUsage(attempt.record->spec.team, -attempt.cpus,
+                           -attempt.gpus);
     return;
   }
   jobs_.Unplace(job, key.second, machine->zone);
-  rebalancer_.Released(job, key.second, leadership_->term());
+  rebalancer_.Released(job, key.second, election_->term());
 }
 
-void Scheduler::DropUnsent(Machine* machine) {
-  for (auto it = machine->tasks.begin(); it != machine->tasks.end();) {
+void Scheduler::RemovePlannedAttempts(Machine* machine) {
+  for (auto it = machine->attempts.begin(); it != machine->attempts.end();) {
     auto next = std::next(it);
-    if (it->second.phase == PlacedPhase::kAssigned) DropTask(machine, it);
+    if (it->second.phase == AttemptPhase::kPlanned) RemoveAttempt(machine, it);
     it = next;
   }
 }
 
-void Scheduler::DropAll(Machine* machine) {
-  while (!machine->tasks.empty()) DropTask(machine, machine->tasks.begin());
-  unaccounted_.ForgetUnknownTasks(*machine);
-  unaccounted_.Update(*machine);
+void Scheduler::RemoveAllAttempts(Machine* machine) {
+  while (!machine->attempts.empty())
+    RemoveAttempt(machine, machine->attempts.begin());
+  unreconciled_.ForgetUnknownTasks(*machine);
+  unreconciled_.Update(*machine);
 }
 
 // The machine is gone, or no leader can have kept its tasks alive so long. A
-// new session alone is less: an earlier leader may have placed tasks in it.
-void Scheduler::DropEverything(Machine* machine) {
-  machine->inherited = false;
-  machine->finished.clear();
-  DropAll(machine);
+// new incarnation alone is less: an earlier leader may have placed tasks in it.
+void Scheduler::ForgetMachineContents(Machine* machine) {
+  machine->from_earlier_term = false;
+  machine->unrecorded_completions.clear();
+  RemoveAllAttempts(machine);
 }
 
 // A task has run as it should there: what failed before tells nothing of it.
-void Scheduler::Succeeded(Machine* machine) {
+void Scheduler::OnTaskSucceeded(Machine* machine) {
   machine->errors.clear();
-  if (machine->set_aside) AssessFault(machine);
+  if (machine->quarantined) ReassessQuarantine(machine);
 }
 
 // The job's failures elsewhere tell of those machines.
-void Scheduler::Succeeded(Job* job) {
+void Scheduler::OnTaskSucceeded(Job* job) {
   const std::set<std::string> failed_on =
       std::exchange(job->error_machines, {});
   job->error_rounds = 0;
   job->retry_at = 0;
   for (const std::string& name : failed_on)
-    if (Machine* other = machines_.Find(name)) AssessFault(other);
+    if (Machine* other = machines_.Find(name)) ReassessQuarantine(other);
 }
 
-void Scheduler::Completed(Job* job, uint32_t task) {
+void Scheduler::OnTaskCompleted(Job* job, uint32_t task) {
   if (job->done.Contains(task)) return;
   jobs_.MarkDone(job, task);
-  Succeeded(job);
+  OnTaskSucceeded(job);
   if (job->done.size() == job->spec().tasks)
-    complete_.push_back(job->id());
+    completed_jobs_.push_back(job->id());
   else
-    progress_.MarkUnwritten(job->id());
+    completions_.MarkDirty(job->id());
   // Its result is kept: another attempt of it, if there is one, is of no use.
-  auto elsewhere = job->placed.find(task);
-  if (elsewhere == job->placed.end()) return;
+  auto elsewhere = job->machine_of_task.find(task);
+  if (elsewhere == job->machine_of_task.end()) return;
   Machine* machine = machines_.Find(elsewhere->second);
   if (!machine) return;
-  auto it = machine->tasks.find({job->id(), task});
-  if (it != machine->tasks.end()) it->second.stop = true;
+  auto it = machine->attempts.find({job->id(), task});
+  if (it != machine->attempts.end()) it->second.stop = true;
 }
 
 // Who is at fault, the job or the machine? A job that has succeeded somewhere
 // is not; one that has failed on several machines and succeeded nowhere is.
 // Until that is known its failure counts once against the machine.
-void Scheduler::Failed(Machine* machine, Job* job, uint32_t task) {
+void Scheduler::OnTaskFailed(Machine* machine, Job* job, uint32_t task) {
   const bool proven = job->succeeded();
   if (context_->debug)
     context_->Debug("failed " + job->id() + "/" + std::to_string(task) +
@@ -546,24 +563,25 @@
   if (job->failing() && context_->now >= job->retry_at) {
     // Tried again at a falling rate, however many tasks of a round fail.
     const double pause =
-        kErrorPauseS * std::pow(2.0, std::min(++job->error_rounds, 10));
-    job->retry_at = context_->now + std::min(pause, kErrorPauseMaxS);
+        kJobRetryPauseS * std::pow(2.0, std::min(++job->error_rounds, 10));
+    job->retry_at = context_->now + std::min(pause, kJobRetryPauseMaxS);
   }
-  if (news && job->broken() && job->error_machines.size() == kBadJobMachines) {
+  if (news && job->broken() &&
+      job->error_machines.size() == kBrokenJobMachines) {
     context_->Info(job->id() + " fails on every machine");
     // Those that were set aside for it are taken back.
     for (const std::string& name : job->error_machines)
-      if (Machine* other = machines_.Find(name)) AssessFault(other);
+      if (Machine* other = machines_.Find(name)) ReassessQuarantine(other);
   }
-  if (proven && ++job->task_errors[task] >= kBadTaskErrors) return;
+  if (proven && ++job->task_errors[task] >= kBrokenTaskErrors) return;
   if (job->ends_by_itself) return;  // it tells nothing of machines
   ++machine->errors[job->id()];
-  AssessFault(machine);
+  ReassessQuarantine(machine);
 }
 
 // Guards against a machine that swallows the queue, and against jobs that fail
 // everywhere taking good machines with them.
-void Scheduler::AssessFault(Machine* machine) {
+void Scheduler::ReassessQuarantine(Machine* machine) {
   int proven = 0;
   size_t unproven = 0;
   for (const auto& [id, errors] : machine->errors) {
@@ -574,53 +592,54 @@
     else
       proven += errors;
   }
-  const bool sick = proven >= kSickErrors || unproven >= kSickJobs;
-  if (proven >= kSickErrors) machine->doubted_until = 0;
-  if (sick == machine->set_aside) return;
-  machine->set_aside = sick;
+  const bool sick =
+      proven >= kQuarantineErrors || unproven >= kQuarantineFailingJobs;
+  if (proven >= kQuarantineErrors) machine->suspect_until = 0;
+  if (sick == machine->quarantined) return;
+  machine->quarantined = sick;
   context_->Info(sick ? "setting " + machine->name + " aside: its tasks fail"
                       : "taking " + machine->name + " back: the jobs failed");
-  if (sick && proven < kSickErrors)
-    machine->doubted_until = context_->now + kErrorAvoidS;
-  if (proven < kSickErrors) return;
-  for (auto& [key, placed] : machine->tasks) {
+  if (sick && proven < kQuarantineErrors)
+    machine->suspect_until = context_->now + kSuspectMachineAvoidS;
+  if (proven < kQuarantineErrors) return;
+  for (auto& [key, attempt] : machine->attempts) {
     const Job* other = jobs_.Find(key.first);
-    placed.stop = true;
-    placed.stop_grace_s = other ? other->spec().save_s : 0;
+    attempt.stop = true;
+    attempt.stop_grace_s = other ? other->spec().save_s : 0;
   }
 }
 
 // What can save does so and moves; what would end in time runs on; the rest
 // loses its work either way and moves at once.
-void Scheduler::NoticeGiven(Machine* machine) {
-  const double left = machine->notice_until - context_->now;
-  for (auto& [key, placed] : machine->tasks) {
+void Scheduler::OnPreemptionNotice(Machine* machine) {
+  const double left = machine->preemption_deadline - context_->now;
+  for (auto& [key, attempt] : machine->attempts) {
     const Job* job = jobs_.Find(key.first);
-    // A replica goes once there is a place for it: ReplicaKeeper.
+    // A replica goes once there is a place for it: ReplicaManager.
     if (!job || job->spec().IsService()) continue;
     const double ran =
-        placed.running_since > 0 ? context_->now - placed.running_since : 0;
-    const bool ends = placed.running_since > 0 &&
+        attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
+    const bool ends = attempt.running_since > 0 &&
                       jobs_.Estimate(job->spec()) - ran < left * 0.5;
     if (ends) continue;
-    placed.stop = true;
-    placed.stop_grace_s =
+    attempt.stop = true;
+    attempt.stop_grace_s =
         job->spec().checkpoint_s > 0 && job->spec().save_s < left
             ? job->spec().save_s
             : 0;
   }
 }
 
-std::vector<Command> Scheduler::Orders(Machine* machine,
-                                       const WorkerReport& report) {
+std::vector<Command> Scheduler::SelectCommands(Machine* machine,
+                                               const Heartbeat& heartbeat) {
   std::vector<Command> orders;
-  for (const TaskReport& task : report.tasks) {
+  for (const TaskStatus& task : heartbeat.tasks) {
     const TaskKey key{task.job, task.task};
     Job* job = jobs_.Find(task.job);
     if (task.state == TaskState::kExited) {
       // A completion is cleared only once it is written down, or the job has
-      // ended: guards against a result that a crash would make us forget.
-      // A replica is never complete.
+      // ended: guards against a result that a crash would make us
+      // forget. A replica is never complete.
       const bool keep = task.reason == ExitReason::kDone && job &&
                         !job->spec().IsService() &&
                         !job->committed.Contains(task.task);
@@ -629,34 +648,34 @@
             {CommandKind::kForget, task.job, task.task, task.attempt, 0});
       continue;
     }
-    auto it = machine->tasks.find(key);
+    auto it = machine->attempts.find(key);
     const bool ours =
-        it != machine->tasks.end() && it->second.attempt == task.attempt;
+        it != machine->attempts.end() && it->second.number == task.attempt;
     if (!ours || it->second.stop) {
       // While it saves, the order to stop is not repeated: a second one with no
       // grace would end it.
-      if (ours && task.state == TaskState::kSaving && it->second.job_live)
+      if (ours && task.state == TaskState::kSaving && it->second.job_active)
         continue;
       orders.push_back({CommandKind::kStop, task.job, task.task, task.attempt,
                         ours ? it->second.stop_grace_s : 0});
     }
   }
-  if (!leadership_->MayLaunch() || !placement_.Usable(*machine)) {
+  if (!election_->MayDispatch() || !placement_.AcceptsTasks(*machine)) {
     // Guards against a launch by a leader that others may have replaced.
-    DropUnsent(machine);
+    RemovePlannedAttempts(machine);
     return orders;
   }
-  for (auto& [key, placed] : machine->tasks) {
-    if (placed.phase != PlacedPhase::kAssigned) continue;
-    placed.phase = PlacedPhase::kSent;
-    placed.sent_session = report.session;
-    placed.sent_sequence = report.sequence;
-    placed.sent_at = context_->now;
+  for (auto& [key, attempt] : machine->attempts) {
+    if (attempt.phase != AttemptPhase::kPlanned) continue;
+    attempt.phase = AttemptPhase::kDispatched;
+    attempt.dispatched_incarnation = heartbeat.incarnation;
+    attempt.dispatched_sequence = heartbeat.sequence;
+    attempt.dispatched_at = context_->now;
     if (context_->debug)
       context_->Debug("start " + key.first + "/" + std::to_string(key.second) +
                       " on " + machine->name);
     orders.push_back(
-        {CommandKind::kStart, key.first, key.second, placed.attempt, 0});
+        {CommandKind::kStart, key.first, key.second, attempt.number, 0});
   }
   return orders;
 }
@@ -671,7 +690,7 @@
               {[this, name = machine->name] {
                  if (Machine* m = machines_.Find(name)) {
                    m->recorded = true;
-                   fleet_.Settled(name);
+                   autoscaler_.Settled(name);
                  }
                },
                nullptr, /*urgent=*/true});
@@ -681,7 +700,7 @@
 // ------------------------------------------------------------------------------
 
 void Scheduler::Tick() {
-  if (!leadership_->leading()) return;
+  if (!election_->leading()) return;
   if (!active_) {
     if (reload_at_ > 0 && context_->now >= reload_at_) {
       reload_at_ = 0;
@@ -693,25 +712,25 @@
   if (context_->now >= next_silence_) {
     next_silence_ = context_->now + 0.5;
     monitor_.Watch();
-    if (!leadership_->leading()) return;
+    if (!election_->leading()) return;
   }
   writer_.Tick();
-  fleet_.Tick(leadership_->MayLaunch(), leadership_->launch_until());
+  autoscaler_.Tick(election_->MayDispatch(), election_->dispatch_deadline());
   if (context_->now >= next_write_) {
     next_write_ = context_->now + kFinishBatchS;
-    WriteFinished();
+    WriteCompletions();
   }
   if (context_->now >= next_policy_) {
     next_policy_ = context_->now + 1;
     waiting_.Tick();
     replicas_.LeaveDepartingMachines();
-    if (leadership_->MayLaunch()) placement_.MakeRoom();
+    if (election_->MayDispatch()) placement_.PreemptForGuarantees();
   }
   replicas_.CountTime();
-  rebalancer_.Tick(leadership_->MayLaunch());
+  rebalancer_.Tick(election_->MayDispatch());
   if (context_->now >= next_preemption_) {
     next_preemption_ = context_->now + kPreemptEveryS;
-    if (leadership_->MayLaunch()) preemption_.MakeRoomForServices();
+    if (election_->MayDispatch()) preemption_.PreemptForServices();
   }
   if (context_->now >= next_rank_) {
     next_rank_ = context_->now + kRankEveryS;
@@ -723,26 +742,26 @@
   }
   if (context_->now >= next_place_) {
     next_place_ = context_->now + kPlaceEveryS;
-    CountUnaccounted();
-    if (leadership_->MayLaunch()) placement_.Pass(leadership_->term());
+    UpdateUnreconciled();
+    if (election_->MayDispatch()) placement_.RunPass(election_->term());
   }
 }
 
-void Scheduler::CountUnaccounted() {
-  placement_.set_unaccounted(unaccounted_.inherited(), unaccounted_.cpus(),
-                             unaccounted_.gpus());
+void Scheduler::UpdateUnreconciled() {
+  placement_.set_unreconciled(unreconciled_.from_earlier_term(),
+                              unreconciled_.cpus(), unreconciled_.gpus());
 }
 
 // --- Writing down
 // -----------------------------------------------------------------------
 
-void Scheduler::WriteFinished() {
-  while (!complete_.empty() && writer_.AllowsEnd()) {
-    Job* job = jobs_.Find(complete_.front());
-    complete_.pop_front();
+void Scheduler::WriteCompletions() {
+  while (!completed_jobs_.empty() && writer_.MayCommitJobEnd()) {
+    Job* job = jobs_.Find(completed_jobs_.front());
+    completed_jobs_.pop_front();
     if (job && !job->finishing) Finish(job);
   }
-  progress_.Write();
+  completions_.Write();
 }
 
 // The end of a job: its live key goes and its final key comes, together.
@@ -750,28 +769,28 @@
 void Scheduler::Finish(Job* job) {
   job->finishing = true;
   const std::string id = job->id();
-  std::vector<StateOp> ops = {
+  std::vector<Mutation> mutations = {
       {true, keys::Live(id), "", 0},
       {false, keys::Final(id), wire::EncodeFinal(FinalState::kDone), 0}};
-  writer_.CommitEnd(
-      {{keys::Live(id), job->version}}, std::move(ops),
+  writer_.CommitJobEnd(
+      {{keys::Live(id), job->version}}, std::move(mutations),
       [this, id](const StateResult& result) {
         if (result.outcome == Outcome::kOk) {
-          directory_->LearnFinal(id, FinalState::kDone);
+          job_cache_->ApplyFinalState(id, FinalState::kDone);
           return;
         }
         if (Job* unfinished = jobs_.Find(id)) {
           unfinished->finishing = false;
-          complete_.push_back(id);  // tried again
+          completed_jobs_.push_back(id);  // tried again
         }
         if (result.outcome != Outcome::kConflict) return;
         // Cancelled, or an earlier try was carried out: the final key tells.
-        context_->Get(StateLane::kLeader, keys::Final(id),
+        context_->Get(StateConnection::kLeader, keys::Final(id),
                       [this, id](const StateResult& got) {
                         FinalState state;
                         if (got.outcome == Outcome::kOk && !got.items.empty() &&
                             wire::ParseFinal(got.items[0].value, &state))
-                          directory_->LearnFinal(id, state);
+                          job_cache_->ApplyFinalState(id, state);
                       });
       });
 }
@@ -803,29 +822,29 @@
         {id, job->done.size(),
          static_cast<uint32_t>(job->spec().IsService()
                                    ? machines_.RunningReplicas(*job)
-                                   : job->placed.size())});
+                                   : job->machine_of_task.size())});
   return counts;
 }
 
-Scheduler::Figures Scheduler::Measure() {
-  Figures f;
+Scheduler::Statistics Scheduler::CollectStatistics() {
+  Statistics f;
   f.jobs = jobs_.all().size();
   for (const auto& [id, job] : jobs_.all()) {
     f.pending += job->pending.size();
-    f.placed += job->placed.size();
+    f.placed += job->machine_of_task.size();
   }
   f.machines = machines_.all().size();
   for (const auto& [name, machine] : machines_.all())
-    if (machine->base) ++f.base_machines;
-  f.unaccounted = placement_.unaccounted();
-  f.base_target_cpus = fleet_.base_target_cpus();
+    if (machine->baseline) ++f.base_machines;
+  f.unreconciled = placement_.unreconciled();
+  f.base_target_cpus = autoscaler_.base_target_cpus();
   f.predictor_error_s = waiting_.predictor().mean_error_s();
   f.predictor_matthews = waiting_.predictor().matthews();
   f.predictor_samples = waiting_.predictor().samples();
   f.speculative_kills = waiting_.killed();
   f.rented_to_end = waiting_.rented();
-  f.replicas = replicas_.Measure();
-  f.spread = rebalancer_.Measure();
+  f.replicas = replicas_.CollectStatistics();
+  f.spread = rebalancer_.CollectStatistics();
   return f;
 }
 
--- a/src/core/coordination/progress_store.cc
+++ b/src/core/coordination/completion_store.cc
@@ -1,4 +1,4 @@
-#include "core/coordination/progress_store.h"
+#include "core/coordination/completion_store.h"
 
 #include <algorithm>
 #include <cstdlib>
@@ -9,7 +9,8 @@
 
 namespace sorrelwood {
 
-std::string EncodeBits(const IntervalSet& tasks, uint32_t begin, uint32_t end) {
+std::string EncodeCompletionBits(const IntervalSet& tasks, uint32_t begin,
+                                 uint32_t end) {
   std::string digits((end - begin + kTasksPerHexDigit - 1) / kTasksPerHexDigit,
                      '\0');
   for (const auto& [first, last] : tasks.ranges()) {
@@ -23,8 +24,8 @@
   return digits;
 }
 
-void DecodeBits(const std::string& hex, uint32_t begin, uint32_t task_count,
-                IntervalSet* tasks) {
+void DecodeCompletionBits(const std::string& hex, uint32_t begin,
+                          uint32_t task_count, IntervalSet* tasks) {
   for (size_t i = 0; i < hex.size(); ++i) {
     const char c = hex[i];
     const int value = c <= '9' ? c - '0' : c - 'a' + 10;
@@ -37,26 +38,27 @@
   }
 }
 
-void ProgressStore::Load(const StateResult& listing) {
+void CompletionStore::Load(const StateResult& listing) {
   for (const KeyValue& item : listing.items) {
-    writer_->LearnVersion(item.key, item.version);
+    writer_->CacheVersion(item.key, item.version);
     const std::string rest = keys::After(item.key, keys::kProgress);
     const size_t slash = rest.rfind('/');
     if (slash == std::string::npos) continue;
     const std::string job = rest.substr(0, slash);
-    ProgressRecord record;
-    if (!wire::ParseProgress(item.value, &record)) continue;
+    CompletionRecord record;
+    if (!wire::ParseCompletions(item.value, &record)) continue;
     if (!record.first_task) {
       const auto chunk = static_cast<uint32_t>(
           std::strtoul(rest.c_str() + slash + 1, nullptr, 10));
-      record.first_task = chunk * kTasksPerProgressKey;
+      record.first_task = chunk * kTasksPerCompletionRecord;
     }
-    DecodeBits(record.bits_hex, *record.first_task, kMaxTasks, &loaded_[job]);
+    DecodeCompletionBits(record.bits_hex, *record.first_task, kMaxTasks,
+                         &loaded_[job]);
     stored_[job].insert(item.key);
   }
 }
 
-void ProgressStore::Restore(Job* job) const {
+void CompletionStore::Restore(Job* job) const {
   const auto loaded = loaded_.find(job->id());
   if (loaded == loaded_.end()) return;
   for (const auto& [first, last] : loaded->second.ranges()) {
@@ -67,7 +69,7 @@
   }
 }
 
-void ProgressStore::EndLoading() {
+void CompletionStore::FinishLoading() {
   loaded_.clear();
   std::vector<std::string> ended;
   for (const auto& [job, keys] : stored_)
@@ -75,32 +77,33 @@
   for (const std::string& job : ended) Remove(job);
 }
 
-void ProgressStore::Remove(const std::string& job) {
-  unwritten_.erase(job);
+void CompletionStore::Remove(const std::string& job) {
+  dirty_jobs_.erase(job);
   const auto stored = stored_.find(job);
   if (stored == stored_.end()) return;
   for (const std::string& key : stored->second) writer_->Remove(key);
   stored_.erase(stored);
 }
 
-void ProgressStore::Clear() {
+void CompletionStore::Clear() {
   loaded_.clear();
   stored_.clear();
-  unwritten_.clear();
+  dirty_jobs_.clear();
 }
 
-void ProgressStore::Write() {
-  for (const std::string& id : std::exchange(unwritten_, {})) {
+void CompletionStore::Write() {
+  for (const std::string& id : std::exchange(dirty_jobs_, {})) {
     Job* job = jobs_->Find(id);
     const uint32_t tasks = job ? job->spec().tasks : 0;
     if (!job || job->done.size() == tasks) continue;
-    for (uint32_t begin = 0; begin < tasks; begin += kTasksPerProgressKey)
-      WriteChunk(job, begin, std::min(begin + kTasksPerProgressKey, tasks));
+    for (uint32_t begin = 0; begin < tasks; begin += kTasksPerCompletionRecord)
+      WriteChunk(job, begin,
+                 std::min(begin + kTasksPerCompletionRecord, tasks));
   }
 }
 
-void ProgressStore::WriteChunk(Job* job, uint32_t begin, uint32_t end) {
-  const uint32_t chunk = begin / kTasksPerProgressKey;
+void CompletionStore::WriteChunk(Job* job, uint32_t begin, uint32_t end) {
+  const uint32_t chunk = begin / kTasksPerCompletionRecord;
   constexpr size_t kQuotes = 2;
   const size_t bytes =
       (end - begin + kTasksPerHexDigit - 1) / kTasksPerHexDigit + kQuotes;
@@ -115,13 +118,13 @@
                std::min(first + step, end), /*part=*/true);
 }
 
-void ProgressStore::WriteRange(Job* job, const std::string& key, uint32_t begin,
-                               uint32_t end, bool part) {
+void CompletionStore::WriteRange(Job* job, const std::string& key,
+                                 uint32_t begin, uint32_t end, bool part) {
   const IntervalSet done = DoneWithin(*job, begin, end);
   if (AllCommitted(*job, done)) return;
   const std::string id = job->id();
-  ProgressRecord record;
-  record.bits_hex = EncodeBits(job->done, begin, end);
+  CompletionRecord record;
+  record.bits_hex = EncodeCompletionBits(job->done, begin, end);
   if (part) record.first_task = begin;
   stored_[id].insert(key);
   const auto committed = [this, id, done] {
@@ -132,13 +135,13 @@
         if (!written->committed.Contains(n)) written->committed.Add(n);
   };
   // Written again, in smaller parts, under the limits that are known now.
-  const auto too_large = [this, id] { MarkUnwritten(id); };
-  writer_->Put(key, wire::EncodeProgress(record),
+  const auto too_large = [this, id] { MarkDirty(id); };
+  writer_->Put(key, wire::EncodeCompletions(record),
                {committed, too_large, /*urgent=*/false});
 }
 
-IntervalSet ProgressStore::DoneWithin(const Job& job, uint32_t begin,
-                                      uint32_t end) {
+IntervalSet CompletionStore::DoneWithin(const Job& job, uint32_t begin,
+                                        uint32_t end) {
   IntervalSet done;
   for (const auto& [first, last] : job.done.ranges()) {
     const uint32_t from = std::max(first, begin);
@@ -148,20 +151,21 @@
   return done;
 }
 
-bool ProgressStore::AllCommitted(const Job& job, const IntervalSet& tasks) {
+bool CompletionStore::AllCommitted(const Job& job, const IntervalSet& tasks) {
   for (const auto& [first, last] : tasks.ranges())
     for (uint32_t n = first; n < last; ++n)
       if (!job.committed.Contains(n)) return false;
   return true;
 }
 
-uint32_t ProgressStore::TasksPerPart() const {
+uint32_t CompletionStore::TasksPerPart() const {
   const size_t limit = limits_->value_bytes();
-  const size_t digits =
-      limit > kProgressPartOverhead ? limit - kProgressPartOverhead : 0;
+  const size_t digits = limit > kCompletionPartOverheadBytes
+                            ? limit - kCompletionPartOverheadBytes
+                            : 0;
   const size_t tasks =
-      std::clamp<size_t>(digits * kTasksPerHexDigit, kLeastTasksPerProgressPart,
-                         kMostTasksPerProgressPart);
+      std::clamp<size_t>(digits * kTasksPerHexDigit, kMinTasksPerCompletionPart,
+                         kMaxTasksPerCompletionPart);
   // Parts begin at a digit.
   return static_cast<uint32_t>(tasks - tasks % kTasksPerHexDigit);
 }
--- a/src/core/coordination/directory.cc
+++ b/src/core/coordination/job_cache.cc
@@ -1,4 +1,4 @@
-#include "core/coordination/directory.h"
+#include "core/coordination/job_cache.h"
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 
 namespace sorrelwood {
 
-void Directory::Tick() {
+void JobCache::Tick() {
   if (busy_ || context_->now < retry_at_) return;
   if (!loaded_)
     Load();
@@ -16,7 +16,7 @@
     Watch();
 }
 
-void Directory::Load() {
+void JobCache::Load() {
   busy_ = true;
   const double sent = context_->now;
   context_->List(keys::kLive, [this, sent](const StateResult& result) {
@@ -25,20 +25,20 @@
       retry_at_ = context_->now + 0.3;
       return;
     }
-    LearnListing(result);
+    ApplyListing(result);
     // Watching from the listing's revision brings everything later, the
     // leader key included once it is read after it.
     const uint64_t revision = result.revision;
-    context_->Get(StateLane::kLeader, keys::kLeader,
+    context_->Get(StateConnection::kLeader, keys::kLeader,
                   [this, sent, revision](const StateResult& got) {
                     busy_ = false;
                     if (got.outcome == Outcome::kOk && !got.items.empty()) {
                       LeaderRecord leader;
                       if (wire::ParseLeader(got.items[0].value, &leader))
-                        LearnLeader(got.items[0].version, leader,
+                        ApplyLeader(got.items[0].version, leader,
                                     got.items[0].version);
                     } else if (got.outcome == Outcome::kConflict) {
-                      LearnLeader(0, LeaderRecord(), revision);
+                      ApplyLeader(0, LeaderRecord(), revision);
                     } else {
                       retry_at_ = context_->now + 0.3;
                       return;
@@ -51,7 +51,7 @@
   });
 }
 
-void Directory::Watch() {
+void JobCache::Watch() {
   busy_ = true;
   const double sent = context_->now;
   next_watch_ = sent + watch_every_s_;
@@ -73,40 +73,40 @@
                   });
 }
 
-void Directory::Apply(const KeyValue& change) {
+void JobCache::Apply(const KeyValue& change) {
   if (change.key == keys::kLeader) {
     LeaderRecord leader;
     if (change.removed)
-      LearnLeader(0, leader, change.version);
+      ApplyLeader(0, leader, change.version);
     else if (wire::ParseLeader(change.value, &leader))
-      LearnLeader(change.version, leader, change.version);
+      ApplyLeader(change.version, leader, change.version);
     return;
   }
   if (const std::string id = keys::After(change.key, keys::kLive);
       !id.empty()) {
-    if (!change.removed) LearnLive(id, change.version, change.value);
+    if (!change.removed) ApplyLiveJob(id, change.version, change.value);
     return;  // a removal comes with the final key, in the same transaction
   }
   if (const std::string id = keys::After(change.key, keys::kFinal);
       !id.empty() && !change.removed) {
     FinalState state;
-    if (wire::ParseFinal(change.value, &state)) LearnFinal(id, state);
+    if (wire::ParseFinal(change.value, &state)) ApplyFinalState(id, state);
   }
 }
 
-KnownJob* Directory::FindLive(const std::string& id) {
+CachedJob* JobCache::FindLive(const std::string& id) {
   auto it = live_.find(id);
   return it == live_.end() ? nullptr : &it->second;
 }
 
-std::optional<FinalState> Directory::FindFinal(const std::string& id) const {
+std::optional<FinalState> JobCache::FindFinal(const std::string& id) const {
   auto it = final_.find(id);
   if (it == final_.end()) return std::nullopt;
   return it->second;
 }
 
-void Directory::LearnLive(const std::string& id, uint64_t version,
-                          const std::string& value) {
+void JobCache::ApplyLiveJob(const std::string& id, uint64_t version,
+                            const std::string& value) {
   auto known = live_.find(id);
   if (known != live_.end() && known->second.version >= version) return;
   auto job = std::make_shared<LiveJob>();
@@ -114,54 +114,54 @@
     context_->Error("job record " + id + " can't be read");
     return;
   }
-  LearnLive(id, version, std::move(job));
+  ApplyLiveJob(id, version, std::move(job));
 }
 
-void Directory::LearnLive(const std::string& id, uint64_t version,
-                          std::shared_ptr<const LiveJob> job) {
+void JobCache::ApplyLiveJob(const std::string& id, uint64_t version,
+                            std::shared_ptr<const LiveJob> job) {
   if (final_.count(id)) return;  // late news: the job has ended
-  KnownJob& known = live_[id];
+  CachedJob& known = live_[id];
   if (known.version >= version) return;
   known.version = version;
   known.job = std::move(job);
   known.counts.id = id;
-  if (on_live) on_live(id);
+  if (on_job_live) on_job_live(id);
 }
 
-void Directory::LearnFinal(const std::string& id, FinalState state) {
+void JobCache::ApplyFinalState(const std::string& id, FinalState state) {
   if (!final_.emplace(id, state).second) return;
   final_order_.push_back(id);
-  if (final_order_.size() > kFinalCache) {
+  if (final_order_.size() > kFinalStateCacheSize) {
     final_.erase(final_order_.front());
     final_order_.pop_front();
   }
   live_.erase(id);
-  if (on_final) on_final(id, state);
+  if (on_job_ended) on_job_ended(id, state);
 }
 
-void Directory::LearnListing(const StateResult& listing) {
+void JobCache::ApplyListing(const StateResult& listing) {
   std::map<std::string, bool> present;
   for (const KeyValue& item : listing.items) {
     const std::string id = keys::After(item.key, keys::kLive);
     present[id] = true;
-    LearnLive(id, item.version, item.value);
+    ApplyLiveJob(id, item.version, item.value);
   }
   // What we hold from before the listing and it lacks has ended; how, is read
   // from its final key.
   for (const auto& [id, known] : live_) {
     if (present.count(id) || known.version > listing.revision) continue;
-    context_->Get(StateLane::kLeader, keys::Final(id),
+    context_->Get(StateConnection::kLeader, keys::Final(id),
                   [this, id = id](const StateResult& got) {
                     FinalState state;
                     if (got.outcome == Outcome::kOk && !got.items.empty() &&
                         wire::ParseFinal(got.items[0].value, &state))
-                      LearnFinal(id, state);
+                      ApplyFinalState(id, state);
                   });
   }
 }
 
-void Directory::LearnLeader(uint64_t version, const LeaderRecord& leader,
-                            uint64_t revision) {
+void JobCache::ApplyLeader(uint64_t version, const LeaderRecord& leader,
+                           uint64_t revision) {
   if (leader_known_ && revision < leader_revision_) return;
   leader_known_ = true;
   leader_version_ = version;
--- a/src/core/coordination/directory.h
+++ b/src/core/coordination/job_cache.h
@@ -15,16 +15,16 @@
 
 namespace sorrelwood {
 
-struct KnownJob {
+struct CachedJob {
   uint64_t version = 0;
   std::shared_ptr<const LiveJob> job;
   JobCounts counts;  // for display, from the leader's notes
 };
 
-class Directory {
+class JobCache {
  public:
   // Watches are sent no more often than `watch_every_s`.
-  explicit Directory(Context* context, double watch_every_s = 0)
+  explicit JobCache(Context* context, double watch_every_s = 0)
       : context_(context), watch_every_s_(watch_every_s) {}
 
   void Tick();
@@ -33,29 +33,29 @@
   // A moment by which every earlier change is known here.
   double synced_at() const { return synced_at_; }
 
-  KnownJob* FindLive(const std::string& id);
+  CachedJob* FindLive(const std::string& id);
   std::optional<FinalState> FindFinal(const std::string& id) const;
-  const std::map<std::string, KnownJob>& live() const { return live_; }
+  const std::map<std::string, CachedJob>& live() const { return live_; }
 
-  void LearnLive(const std::string& id, uint64_t version,
-                 const std::string& value);
-  void LearnLive(const std::string& id, uint64_t version,
-                 std::shared_ptr<const LiveJob> job);
-  void LearnFinal(const std::string& id, FinalState state);
+  void ApplyLiveJob(const std::string& id, uint64_t version,
+                    const std::string& value);
+  void ApplyLiveJob(const std::string& id, uint64_t version,
+                    std::shared_ptr<const LiveJob> job);
+  void ApplyFinalState(const std::string& id, FinalState state);
   // Takes a listing of the live keys that is of `revision` or later.
-  void LearnListing(const StateResult& listing);
+  void ApplyListing(const StateResult& listing);
 
   // The leader key as last seen: version 0 when it is absent.
   bool leader_known() const { return leader_known_; }
   uint64_t leader_version() const { return leader_version_; }
   const LeaderRecord& leader() const { return leader_; }
   // Told by whoever changed the leader key or read it.
-  void LearnLeader(uint64_t version, const LeaderRecord& leader,
+  void ApplyLeader(uint64_t version, const LeaderRecord& leader,
                    uint64_t revision);
 
   // Called for each job that is new or that ends.
-  std::function<void(const std::string& id)> on_live;
-  std::function<void(const std::string& id, FinalState)> on_final;
+  std::function<void(const std::string& id)> on_job_live;
+  std::function<void(const std::string& id, FinalState)> on_job_ended;
 
  private:
   void Load();
@@ -65,7 +65,7 @@
   Context* context_;
   const double watch_every_s_;
   double next_watch_ = 0;
-  std::map<std::string, KnownJob> live_;
+  std::map<std::string, CachedJob> live_;
   std::unordered_map<std::string, FinalState> final_;
   std::deque<std::string> final_order_;
   bool loaded_ = false;
--- a/src/core/coordination/leadership.cc
+++ b/src/core/coordination/leader_election.cc
@@ -1,4 +1,4 @@
-#include "core/coordination/leadership.h"
+#include "core/coordination/leader_election.h"
 
 #include <algorithm>
 
@@ -8,131 +8,136 @@
 
 namespace sorrelwood {
 
-Leadership::Leadership(Context* context, Directory* directory, std::string node,
-                       double lease_s, double cancel_s)
+LeaderElection::LeaderElection(Context* context, JobCache* job_cache,
+                               std::string node, double lease_s,
+                               double cancel_s)
     : context_(context),
-      directory_(directory),
+      job_cache_(job_cache),
       node_(std::move(node)),
       // A worker's tasks outlive the last answer by its lease, and must be gone
       // within cancel_s of a cancellation that this leader did not see.
-      answer_reach_s_(
-          std::max(kLeaderLeaseS,
-                   cancel_s - lease_s * (1 + kClockDrift) - kReachMarginS)) {}
+      worker_lease_renewal_window_s_(std::max(
+          kLeaderLeaseS,
+          cancel_s - lease_s * (1 + kClockDrift) - kWorkerLeaseMarginS)) {}
 
-Guard Leadership::guard() const { return Guard{keys::kLeader, version_}; }
+Precondition LeaderElection::leader_precondition() const {
+  return Precondition{keys::kLeader, version_};
+}
 
-double Leadership::launch_until() const {
-  return confirmed_at_ + kLeaderLeaseS * (1 - kClockDrift) - kLeaseMarginS;
+double LeaderElection::dispatch_deadline() const {
+  return confirmed_at_ + kLeaderLeaseS * (1 - kClockDrift) -
+         kDispatchLeaseMarginS;
 }
 
-bool Leadership::MayAnswer() const {
-  return leading_ && context_->now < directory_->synced_at() + answer_reach_s_;
+bool LeaderElection::MayRenewWorkerLeases() const {
+  return leading_ && context_->now < job_cache_->synced_at() +
+                                         worker_lease_renewal_window_s_;
 }
 
-void Leadership::LearnTerm(uint64_t term) {
+void LeaderElection::ObserveTerm(uint64_t term) {
   highest_term_ = std::max(highest_term_, term);
   if (leading_ && term > term_) StepDown("a higher term is known");
 }
 
-void Leadership::StepDown(const std::string& why) {
+void LeaderElection::StepDown(const std::string& why) {
   if (!leading_) return;
   leading_ = false;
   lease_ = 0;
   retry_at_ = context_->now + kElectionRetryS;
   context_->Info("no longer leader of term " + std::to_string(term_) + ": " +
                  why);
-  if (on_deposed) on_deposed();
+  if (on_leadership_lost) on_leadership_lost();
 }
 
-void Leadership::Abdicate(const std::string& why) {
-  if (!leading_ || context_->now < next_abdication_) return;
-  next_abdication_ = context_->now + kAbdicateEveryS;
-  const Guard key = guard();
+void LeaderElection::Resign(const std::string& why) {
+  if (!leading_ || context_->now < next_resignation_) return;
+  next_resignation_ = context_->now + kResignIntervalS;
+  const Precondition key = leader_precondition();
   StepDown(why);
-  retry_at_ = context_->now + kAbdicatePauseS;
-  context_->Transact(StateLane::kRenewal, {key}, {{true, keys::kLeader, "", 0}},
-                     [this](const StateResult& result) {
-                       if (result.outcome == Outcome::kOk)
-                         directory_->LearnLeader(0, LeaderRecord(),
-                                                 result.revision);
-                     });
+  retry_at_ = context_->now + kResignPauseS;
+  context_->Transact(
+      StateConnection::kLeaseRenewal, {key}, {{true, keys::kLeader, "", 0}},
+      [this](const StateResult& result) {
+        if (result.outcome == Outcome::kOk)
+          job_cache_->ApplyLeader(0, LeaderRecord(), result.revision);
+      });
 }
 
-void Leadership::Tick() {
-  if (directory_->leader_known())
-    highest_term_ = std::max(highest_term_, directory_->leader().term);
+void LeaderElection::Tick() {
+  if (job_cache_->leader_known())
+    highest_term_ = std::max(highest_term_, job_cache_->leader().term);
   if (leading_) {
-    if (directory_->leader_known() &&
-        directory_->leader_version() != version_) {
+    if (job_cache_->leader_known() &&
+        job_cache_->leader_version() != version_) {
       StepDown("the leader key has changed");
       return;
     }
     Renew();
     return;
   }
-  if (!directory_->leader_known() || directory_->leader_version() != 0)
+  if (!job_cache_->leader_known() || job_cache_->leader_version() != 0)
     absent_since_ = 0;
   else if (absent_since_ == 0)
     absent_since_ = context_->now;
-  if (campaigning_ || !directory_->loaded() || context_->now < retry_at_)
-    return;
+  if (electing_ || !job_cache_->loaded() || context_->now < retry_at_) return;
   // It heard few machines a short while ago: the others go first. Guards
   // against the lead coming back to a node that is still cut off when the next
   // leader fails.
-  if (absent_since_ > 0 && context_->now < next_abdication_ &&
-      context_->now < absent_since_ + kShyPauseS)
+  if (absent_since_ > 0 && context_->now < next_resignation_ &&
+      context_->now < absent_since_ + kResignedElectionDelayS)
     return;
-  if (directory_->leader_version() == 0)
-    Campaign();
-  else if (directory_->leader().node == node_)
+  if (job_cache_->leader_version() == 0)
+    StartElection();
+  else if (job_cache_->leader().node == node_)
     RemoveOwnStaleKey();
 }
 
 // The key names this node but this process does not lead: an earlier process of
 // the node held it, or a claim of ours was carried out late. Either way nobody
 // acts on it, so the wait for its lease is saved.
-void Leadership::RemoveOwnStaleKey() {
-  campaigning_ = true;
+void LeaderElection::RemoveOwnStaleKey() {
+  electing_ = true;
   context_->Transact(
-      StateLane::kRenewal, {{keys::kLeader, directory_->leader_version()}},
+      StateConnection::kLeaseRenewal,
+      {{keys::kLeader, job_cache_->leader_version()}},
       {{true, keys::kLeader, "", 0}}, [this](const StateResult& result) {
-        campaigning_ = false;
+        electing_ = false;
         retry_at_ = context_->now + kElectionRetryS;
         if (result.outcome == Outcome::kOk) {
-          directory_->LearnLeader(0, LeaderRecord(), result.revision);
+          job_cache_->ApplyLeader(0, LeaderRecord(), result.revision);
           retry_at_ = 0;
         }
       });
 }
 
-void Leadership::Campaign() {
-  campaigning_ = true;
+void LeaderElection::StartElection() {
+  electing_ = true;
   const double sent = context_->now;
   context_->CreateLease(kLeaderLeaseS, [this, sent](const StateResult& result) {
     if (result.outcome != Outcome::kOk) {
-      campaigning_ = false;
+      electing_ = false;
       retry_at_ = context_->now + kElectionRetryS * (1 + context_->Random());
       return;
     }
-    Claim(result.lease, sent);
+    AcquireLeaderKey(result.lease, sent);
   });
 }
 
-void Leadership::Claim(uint64_t lease, double created) {
+void LeaderElection::AcquireLeaderKey(uint64_t lease, double created) {
   context_->Get(
-      StateLane::kRenewal, keys::kTerm,
+      StateConnection::kLeaseRenewal, keys::kTerm,
       [this, lease, created](const StateResult& got) {
         uint64_t term = 0, version = 0;
         if (got.outcome == Outcome::kOk && !got.items.empty()) {
           version = got.items[0].version;
           if (!wire::ParseTerm(got.items[0].value, &term)) {
             context_->Error("the term record can't be read");
-            campaigning_ = false;
+            electing_ = false;
             retry_at_ = context_->now + 1;
             return;
           }
         } else if (got.outcome != Outcome::kConflict) {
-          campaigning_ = false;
+          electing_ = false;
           retry_at_ = context_->now + kElectionRetryS;
           return;
         }
@@ -141,11 +146,12 @@
         term = std::max(term, highest_term_) + 1;
         const LeaderRecord record{node_, term};
         context_->Transact(
-            StateLane::kRenewal, {{keys::kLeader, 0}, {keys::kTerm, version}},
+            StateConnection::kLeaseRenewal,
+            {{keys::kLeader, 0}, {keys::kTerm, version}},
             {{false, keys::kLeader, wire::EncodeLeader(record), lease},
              {false, keys::kTerm, wire::EncodeTerm(term), 0}},
             [this, lease, created, record](const StateResult& result) {
-              campaigning_ = false;
+              electing_ = false;
               if (result.outcome != Outcome::kOk) {
                 retry_at_ =
                     context_->now + kElectionRetryS * (1 + context_->Random());
@@ -159,14 +165,14 @@
               confirmed_at_ = created;
               next_renewal_ = context_->now;
               renewing_ = renewal_refused_ = false;
-              directory_->LearnLeader(version_, record, result.revision);
+              job_cache_->ApplyLeader(version_, record, result.revision);
               context_->Info("leader of term " + std::to_string(term_));
-              if (on_elected) on_elected();
+              if (on_leadership_acquired) on_leadership_acquired();
             });
       });
 }
 
-void Leadership::Renew() {
+void LeaderElection::Renew() {
   if (renewing_ || context_->now < next_renewal_) return;
   renewing_ = true;
   const double sent = context_->now;
@@ -177,7 +183,7 @@
                          renewal_refused_ = result.outcome == Outcome::kRefused;
                          if (result.outcome == Outcome::kOk) {
                            confirmed_at_ = sent;
-                           next_renewal_ = sent + kRenewEveryS;
+                           next_renewal_ = sent + kLeaderLeaseRenewIntervalS;
                          } else if (result.outcome == Outcome::kConflict) {
                            StepDown("the leader's lease has ended");
                          } else {
--- a/src/core/coordination/state_limits.cc
+++ b/src/core/coordination/state_limits.cc
@@ -16,12 +16,12 @@
   if (result.refusal == StateRefusal::kTooManyChanges) rate_fell_ = true;
 }
 
-int StateLimitTracker::transaction_changes() const {
+int StateLimitTracker::max_mutations() const {
   return std::min(now_.txn_ops, next_.txn_ops);
 }
 
-size_t StateLimitTracker::transaction_guards() const {
-  return static_cast<size_t>(transaction_changes()) * kGuardsPerChange;
+size_t StateLimitTracker::max_preconditions() const {
+  return static_cast<size_t>(max_mutations()) * kPreconditionsPerMutation;
 }
 
 size_t StateLimitTracker::value_bytes() const {
--- a/src/core/coordination/state_limits.h
+++ b/src/core/coordination/state_limits.h
@@ -19,9 +19,9 @@
 
   // Changes in one transaction: the smaller of both from the start, so that no
   // batch is ever refused for its length.
-  int transaction_changes() const;
+  int max_mutations() const;
   // Conditions in one transaction.
-  size_t transaction_guards() const;
+  size_t max_preconditions() const;
   // Bytes of one value: as now, until a value is refused. Guards against
   // records in a form that the version before can't read, while it may serve.
   size_t value_bytes() const;
--- a/src/core/coordination/writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -1,4 +1,4 @@
-#include "core/coordination/writer.h"
+#include "core/coordination/state_writer.h"
 
 #include <algorithm>
 
@@ -7,81 +7,83 @@
 
 namespace sorrelwood {
 
-Writer::Writer(Context* context, Leadership* leadership,
-               const StateLimitTracker* limits)
-    : context_(context), leadership_(leadership), limits_(limits) {}
+StateWriter::StateWriter(Context* context, LeaderElection* election,
+                         const StateLimitTracker* limits)
+    : context_(context), election_(election), limits_(limits) {}
 
-void Writer::Put(const std::string& key, std::string value, Handling handling) {
+void StateWriter::Put(const std::string& key, std::string value,
+                      WriteOptions options) {
   auto [it, added] = waiting_.try_emplace(key);
   Entry& entry = it->second;
-  entry.op = StateOp{false, key, std::move(value), 0};
+  entry.op = Mutation{false, key, std::move(value), 0};
   entry.alone = false;
-  entry.handling.urgent = handling.urgent;
-  if (handling.written) entry.handling.written = std::move(handling.written);
-  if (handling.too_large)
-    entry.handling.too_large = std::move(handling.too_large);
-  if (added) Line(key, handling.urgent);
+  entry.options.urgent = options.urgent;
+  if (options.written) entry.options.written = std::move(options.written);
+  if (options.too_large) entry.options.too_large = std::move(options.too_large);
+  if (added) Line(key, options.urgent);
 }
 
-void Writer::Remove(const std::string& key) {
+void StateWriter::Remove(const std::string& key) {
   auto [it, added] = waiting_.try_emplace(key);
-  it->second.op = StateOp{true, key, "", 0};
-  it->second.handling = Handling();
+  it->second.op = Mutation{true, key, "", 0};
+  it->second.options = WriteOptions();
   if (added) order_.push_back(key);
 }
 
-void Writer::Commit(std::vector<Guard> guards, std::vector<StateOp> ops,
-                    StateCallback done) {
-  tokens_ -= static_cast<double>(ops.size());
-  Transact(std::move(guards), std::move(ops), std::move(done));
+void StateWriter::Commit(std::vector<Precondition> preconditions,
+                         std::vector<Mutation> mutations, StateCallback done) {
+  tokens_ -= static_cast<double>(mutations.size());
+  Transact(std::move(preconditions), std::move(mutations), std::move(done));
 }
 
-void Writer::CommitEnd(std::vector<Guard> guards, std::vector<StateOp> ops,
-                       StateCallback done) {
-  (end_tokens_ >= kEndOps ? end_tokens_ : tokens_) -=
-      static_cast<double>(ops.size());
-  Transact(std::move(guards), std::move(ops), std::move(done));
+void StateWriter::CommitJobEnd(std::vector<Precondition> preconditions,
+                               std::vector<Mutation> mutations,
+                               StateCallback done) {
+  (job_end_tokens_ >= kMutationsPerJobEnd ? job_end_tokens_ : tokens_) -=
+      static_cast<double>(mutations.size());
+  Transact(std::move(preconditions), std::move(mutations), std::move(done));
 }
 
-void Writer::Transact(std::vector<Guard> guards, std::vector<StateOp> ops,
-                      StateCallback done) {
-  guards.push_back(leadership_->guard());
-  context_->Transact(StateLane::kLeader, std::move(guards), std::move(ops),
+void StateWriter::Transact(std::vector<Precondition> preconditions,
+                           std::vector<Mutation> mutations,
+                           StateCallback done) {
+  preconditions.push_back(election_->leader_precondition());
+  context_->Transact(StateConnection::kLeader, std::move(preconditions),
+                     std::move(mutations),
                      [this, done = std::move(done),
                       generation = generation_](const StateResult& result) {
                        if (generation != generation_) return;
                        if (result.outcome == Outcome::kConflict &&
                            std::find(result.failed.begin(), result.failed.end(),
                                      keys::kLeader) != result.failed.end()) {
-                         leadership_->StepDown("a write found another leader");
+                         election_->StepDown("a write found another leader");
                          return;
                        }
                        done(result);
                      });
 }
 
-void Writer::Tick() {
-  const double rate = limits_->changes_per_s() * kWriteShare;
+void StateWriter::Tick() {
+  const double rate = limits_->changes_per_s() * kLeaderWriteShare;
   const double gain = (context_->now - refilled_at_) * rate / 2;
   refilled_at_ = context_->now;
   // What ends of jobs leave of their half is there for the rest.
-  end_tokens_ += gain;
-  const double left = std::max(0.0, end_tokens_ - rate / 2);
-  end_tokens_ -= left;
+  job_end_tokens_ += gain;
+  const double left = std::max(0.0, job_end_tokens_ - rate / 2);
+  job_end_tokens_ -= left;
   tokens_ = std::min(rate, tokens_ + gain + left);
   while (!(urgent_.empty() && order_.empty()) && in_flight_ < 1 &&
          context_->now >= next_send_ && tokens_ >= 1)
     Send();
 }
 
-std::vector<Writer::Entry> Writer::TakeBatch() {
-  const size_t most =
-      std::min(static_cast<size_t>(limits_->transaction_changes()),
-               static_cast<size_t>(std::max(1.0, tokens_)));
+std::vector<StateWriter::Entry> StateWriter::TakeBatch() {
+  const size_t most = std::min(static_cast<size_t>(limits_->max_mutations()),
+                               static_cast<size_t>(std::max(1.0, tokens_)));
   std::vector<Entry> batch;
   size_t bytes = 0;
   while (!(urgent_.empty() && order_.empty()) && batch.size() < most &&
-         bytes < kMostWriteBytes) {
+         bytes < kMaxWriteBytes) {
     auto& line = urgent_.empty() ? order_ : urgent_;
     const std::string key = line.front();
     auto it = waiting_.find(key);
@@ -100,26 +102,26 @@
   return batch;
 }
 
-void Writer::Send() {
+void StateWriter::Send() {
   std::vector<Entry> batch = TakeBatch();
   if (batch.empty()) return;
-  std::vector<StateOp> ops;
-  std::vector<Guard> guards;
+  std::vector<Mutation> mutations;
+  std::vector<Precondition> preconditions;
   for (const Entry& entry : batch) {
     const auto version = versions_.find(entry.op.key);
-    guards.push_back(
+    preconditions.push_back(
         {entry.op.key, version == versions_.end() ? 0 : version->second});
-    ops.push_back(entry.op);
+    mutations.push_back(entry.op);
   }
   ++in_flight_;
-  Commit(std::move(guards), std::move(ops),
+  Commit(std::move(preconditions), std::move(mutations),
          [this, batch = std::move(batch)](const StateResult& result) {
            --in_flight_;
            Sent(batch, result);
          });
 }
 
-void Writer::Sent(std::vector<Entry> batch, const StateResult& result) {
+void StateWriter::Sent(std::vector<Entry> batch, const StateResult& result) {
   const bool too_large = result.refusal == StateRefusal::kTooLarge;
   if (result.outcome != Outcome::kOk && !too_large)
     next_send_ = context_->now + kWriteRetryS;
@@ -131,7 +133,7 @@
         versions_.erase(key);
       else
         versions_[key] = result.revision;
-      if (entry.handling.written) entry.handling.written();
+      if (entry.options.written) entry.options.written();
     } else if (too_large) {
       Refused(std::move(entry), in_a_batch);
     } else {
@@ -145,7 +147,7 @@
 
 // Guards against a value that is never taken being tried for ever, and keeping
 // from the state service what waits behind it.
-void Writer::Refused(Entry&& entry, bool in_a_batch) {
+void StateWriter::Refused(Entry&& entry, bool in_a_batch) {
   const std::string key = entry.op.key;
   if (in_a_batch) {
     entry.alone = true;
@@ -154,17 +156,17 @@
   }
   context_->Error("the state service takes no " +
                   std::to_string(entry.op.value.size()) + " bytes at " + key);
-  if (entry.handling.too_large) entry.handling.too_large();
+  if (entry.options.too_large) entry.options.too_large();
 }
 
 // Puts back what could not be written, unless a newer write of the key waits.
-void Writer::Queue(const std::string& key, Entry&& entry) {
-  const bool urgent = entry.handling.urgent;
+void StateWriter::Queue(const std::string& key, Entry&& entry) {
+  const bool urgent = entry.options.urgent;
   if (waiting_.try_emplace(key, std::move(entry)).second) Line(key, urgent);
 }
 
-void Writer::Read(const std::string& key) {
-  context_->Get(StateLane::kLeader, key,
+void StateWriter::Read(const std::string& key) {
+  context_->Get(StateConnection::kLeader, key,
                 [this, key, generation = generation_](const StateResult& got) {
                   if (generation != generation_) return;
                   if (got.outcome == Outcome::kOk && !got.items.empty()) {
@@ -177,11 +179,11 @@
                     next_send_ = context_->now + kWriteRetryS;
                   }
                   if (auto it = waiting_.find(key); it != waiting_.end())
-                    Line(key, it->second.handling.urgent);
+                    Line(key, it->second.options.urgent);
                 });
 }
 
-void Writer::Clear() {
+void StateWriter::Clear() {
   waiting_.clear();
   urgent_.clear();
   order_.clear();
--- a/src/core/engine/actions.h
+++ b/src/core/engine/actions.h
@@ -11,11 +11,11 @@
 
 namespace sorrelwood {
 
-struct Guard {
+struct Precondition {
   std::string key;
   uint64_t version = 0;
 };
-struct StateOp {
+struct Mutation {
   bool remove = false;
   std::string key;
   std::string value;   // JSON text
@@ -23,17 +23,17 @@
 };
 
 // Which connection carries a request: a slow one must not hold up another.
-enum class StateLane { kRenewal, kLeader, kUser, kPoll };
+enum class StateConnection { kLeaseRenewal, kLeader, kUser, kPoll };
 
 struct StateTransaction {
   uint64_t id = 0;
-  StateLane lane = StateLane::kLeader;
-  std::vector<Guard> guards;
-  std::vector<StateOp> ops;
+  StateConnection connection = StateConnection::kLeader;
+  std::vector<Precondition> preconditions;
+  std::vector<Mutation> mutations;
 };
 struct StateGet {
   uint64_t id = 0;
-  StateLane lane = StateLane::kUser;
+  StateConnection connection = StateConnection::kUser;
   std::string key;
 };
 // Lists everything under a prefix, all pages.
@@ -82,29 +82,29 @@
   double page_pause_s = 0;
 };
 
-struct DirectCommand {
+struct PushedCommands {
   uint64_t id = 0;
   std::string machine, address;
-  uint64_t token = 0, session = 0;
+  uint64_t fencing_token = 0, incarnation = 0;
   std::vector<Command> commands;
 };
 
-struct AnswerUser {
+struct ClientResponse {
   uint64_t request = 0;
   int status = 200;
   std::string body;
   double retry_after_s = 0;
 };
-struct AnswerWorker {
+struct HeartbeatResponse {
   uint64_t request = 0;
   int status = 200;  // 200, 421 or 503
-  uint64_t token = 0;
+  uint64_t fencing_token = 0;
   std::vector<Command> commands;
   std::string redirect;  // with 421: node name, may be empty
 };
 
-struct MeshSend {
-  MeshNote note;
+struct SendPeerStatus {
+  PeerStatus note;
 };
 
 struct LogLine {
@@ -112,10 +112,11 @@
   std::string text;
 };
 
-using Action = std::variant<StateTransaction, StateGet, StateList, StateWatch,
-                            LeaseCreate, LeaseRenew, LeaseEnd, CloudCatalog,
-                            CloudRent, CloudRelease, CloudList, DirectCommand,
-                            AnswerUser, AnswerWorker, MeshSend, LogLine>;
+using Action =
+    std::variant<StateTransaction, StateGet, StateList, StateWatch, LeaseCreate,
+                 LeaseRenew, LeaseEnd, CloudCatalog, CloudRent, CloudRelease,
+                 CloudList, PushedCommands, ClientResponse, HeartbeatResponse,
+                 SendPeerStatus, LogLine>;
 using Actions = std::vector<Action>;
 
 // --- What comes back
@@ -147,7 +148,7 @@
   Outcome outcome = Outcome::kUnknown;
   StateRefusal refusal = StateRefusal::kNone;  // with kRefused
   uint64_t revision = 0;
-  std::vector<std::string> failed;  // guards that did not hold
+  std::vector<std::string> failed;  // preconditions that did not hold
   std::vector<KeyValue> items;      // get, list, watch
   uint64_t lease = 0;
   bool too_old = false;  // watch: read the keys again
@@ -157,17 +158,17 @@
   uint64_t id = 0;
   Outcome outcome = Outcome::kUnknown;
   bool no_capacity = false;
-  bool too_late = false;  // refused by our own lane: its time had passed
+  bool too_late = false;  // refused by our own connection: its time had passed
   std::vector<MachineType> types;
   std::vector<std::string> machines;
   std::vector<ListedMachine> listed;
 };
 
-struct DirectResult {
+struct PushResult {
   uint64_t id = 0;
   bool answered = false;
   bool accepted = false;  // 200
-  WorkerReport report;
+  Heartbeat heartbeat;
 };
 
 }  // namespace sorrelwood
--- a/src/core/engine/context.h
+++ b/src/core/engine/context.h
@@ -15,7 +15,7 @@
 
 using StateCallback = std::function<void(const StateResult&)>;
 using CloudCallback = std::function<void(const CloudResult&)>;
-using DirectCallback = std::function<void(const DirectResult&)>;
+using PushCallback = std::function<void(const PushResult&)>;
 
 class Context {
  public:
@@ -28,13 +28,16 @@
   bool debug = false;  // whether debug lines are wanted
   uint64_t work = 0;   // machines and jobs looked at for this input
 
-  void Transact(StateLane lane, std::vector<Guard> guards,
-                std::vector<StateOp> ops, StateCallback done) {
-    out.push_back(StateTransaction{Expect(std::move(done)), lane,
-                                   std::move(guards), std::move(ops)});
-  }
-  void Get(StateLane lane, std::string key, StateCallback done) {
-    out.push_back(StateGet{Expect(std::move(done)), lane, std::move(key)});
+  void Transact(StateConnection connection,
+                std::vector<Precondition> preconditions,
+                std::vector<Mutation> mutations, StateCallback done) {
+    out.push_back(StateTransaction{Expect(std::move(done)), connection,
+                                   std::move(preconditions),
+                                   std::move(mutations)});
+  }
+  void Get(StateConnection connection, std::string key, StateCallback done) {
+    out.push_back(
+        StateGet{Expect(std::move(done)), connection, std::move(key)});
   }
   void List(std::string prefix, StateCallback done) {
     out.push_back(StateList{Expect(std::move(done)), std::move(prefix)});
@@ -64,7 +67,7 @@
   void ListMachines(double page_pause_s, CloudCallback done) {
     out.push_back(CloudList{ExpectCloud(std::move(done)), page_pause_s});
   }
-  void Direct(DirectCommand command, DirectCallback done) {
+  void PushCommands(PushedCommands command, PushCallback done) {
     command.id = next_id_++;
     direct_[command.id] = std::move(done);
     out.push_back(std::move(command));
@@ -91,7 +94,7 @@
     Call(state_, result);
   }
   void Deliver(const CloudResult& result) { Call(cloud_, result); }
-  void Deliver(const DirectResult& result) { Call(direct_, result); }
+  void Deliver(const PushResult& result) { Call(direct_, result); }
 
   // Since when the state service has served nothing that was asked, whether it
   // refused or did not answer; 0: it serves.
@@ -126,7 +129,7 @@
   double unserved_since_ = 0, served_at_ = 0;
   std::map<uint64_t, StateCallback> state_;
   std::map<uint64_t, CloudCallback> cloud_;
-  std::map<uint64_t, DirectCallback> direct_;
+  std::map<uint64_t, PushCallback> direct_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/jobs/job_table.cc
+++ b/src/core/jobs/job_table.cc
@@ -15,13 +15,13 @@
 }
 
 Job* JobTable::Add(std::shared_ptr<const LiveJob> record, uint64_t version,
-                   bool inherited, double now) {
+                   bool from_earlier_term, double now) {
   auto& slot = jobs_[record->spec.id];
   if (slot) return slot.get();
   slot = std::make_unique<Job>();
   slot->record = std::move(record);
   slot->version = version;
-  slot->inherited = inherited;
+  slot->from_earlier_term = from_earlier_term;
   slot->pending.Add(0, slot->spec().tasks);
   slot->queued_at = now;
   const JobSpec& spec = slot->spec();
@@ -63,7 +63,7 @@
     queue_.clear();
     for (auto& [id, job] : jobs_) queue_.push_back(job.get());
     std::sort(queue_.begin(), queue_.end(), [](const Job* a, const Job* b) {
-      if (a->unbegun != b->unbegun) return a->unbegun;
+      if (a->starving != b->starving) return a->starving;
       if (a->spec().IsService() != b->spec().IsService())
         return a->spec().IsService();
       if (a->guaranteed != b->guaranteed) return a->guaranteed;
@@ -129,8 +129,8 @@
     if (age > kYieldS) job->size_class = 0;
     job->late = !spec.IsService() && age <= kYieldS &&
                 Slack(*job, settings.objectives, wall, 1) < 0;
-    job->unbegun = age > kBeginS && job->placed.empty() && job->done.empty() &&
-                   !job->failing();
+    job->starving = age > kBeginS && job->machine_of_task.empty() &&
+                    job->done.empty() && !job->failing();
   }
   for (Job* job : by_arrival) job->team_backlog_s = backlog_s[job->spec().team];
   queue_stale_ = true;
@@ -180,7 +180,7 @@
   known += (ratio - known) * kEstimateLearning;
 }
 
-const UsualJob* JobTable::Usual(const std::string& job_class) const {
+const ClassProfile* JobTable::Usual(const std::string& job_class) const {
   auto it = usual_.find(job_class);
   return it == usual_.end() ? nullptr : &it->second;
 }
@@ -188,15 +188,15 @@
 void JobTable::Place(Job* job, uint32_t task, const std::string& machine,
                      const std::string& zone) {
   job->pending.Remove(task);
-  job->placed[task] = machine;
-  ++job->placed_in_zone[zone];
-  AddStray(job->spec().team, job->spec().cpus, job->spec().gpus);
+  job->machine_of_task[task] = machine;
+  ++job->attempts_in_zone[zone];
+  AddOrphanedUsage(job->spec().team, job->spec().cpus, job->spec().gpus);
 }
 
 void JobTable::Unplace(Job* job, uint32_t task, const std::string& zone) {
-  if (job->placed.erase(task) == 0) return;
-  if (--job->placed_in_zone[zone] == 0) job->placed_in_zone.erase(zone);
-  AddStray(job->spec().team, -job->spec().cpus, -job->spec().gpus);
+  if (job->machine_of_task.erase(task) == 0) return;
+  if (--job->attempts_in_zone[zone] == 0) job->attempts_in_zone.erase(zone);
+  AddOrphanedUsage(job->spec().team, -job->spec().cpus, -job->spec().gpus);
   if (!job->done.Contains(task)) job->pending.Add(task);
 }
 
@@ -207,7 +207,8 @@
   if (!job->done.Contains(task)) job->done.Add(task);
 }
 
-void JobTable::AddStray(const std::string& team, double cpus, double gpus) {
+void JobTable::AddOrphanedUsage(const std::string& team, double cpus,
+                                double gpus) {
   TeamUse& use = use_[team];
   use.cpus += cpus;
   use.gpus += gpus;
--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -27,13 +27,13 @@
   uint64_t version = 0;
   // It existed before this leader's term: an earlier leader may have placed
   // tasks of it on machines that have not reported yet.
-  bool inherited = false;
+  bool from_earlier_term = false;
 
-  IntervalSet pending;                     // neither placed nor done
-  IntervalSet done;                        // completed, as reported
-  IntervalSet committed;                   // completed, and written down
-  std::map<uint32_t, std::string> placed;  // task -> machine
-  std::map<std::string, uint32_t> placed_in_zone;
+  IntervalSet pending;    // neither placed nor done
+  IntervalSet done;       // completed, as reported
+  IntervalSet committed;  // completed, and written down
+  std::map<uint32_t, std::string> machine_of_task;  // task -> machine
+  std::map<std::string, uint32_t> attempts_in_zone;
 
   // The waiting policy's marks on pending tasks.
   std::map<uint32_t, double> waiting;  // killed at t, since when it waits
@@ -55,7 +55,7 @@
   std::map<uint32_t, ReplicaRestarts> restarts;
 
   // Where it stands in the queue, see JobTable::Rank.
-  bool unbegun = false;  // nothing of it has run for too long
+  bool starving = false;  // nothing of it has run for too long
   bool guaranteed = false;
   bool late = false;
   int size_class = 0;         // of the work left, by powers of two
@@ -69,17 +69,17 @@
   // task at a time, and claims no more than that. Guards against a job that
   // fails everywhere taking room, rent and guarantee from others.
   bool failing() const {
-    return !succeeded() && error_machines.size() >= kSuspectJobMachines;
+    return !succeeded() && error_machines.size() >= kFailingJobMachines;
   }
   // So many that the machines are not at fault.
   bool broken() const {
-    return !succeeded() && error_machines.size() >= kBadJobMachines;
+    return !succeeded() && error_machines.size() >= kBrokenJobMachines;
   }
 
   // A task of it has run as it should, somewhere.
   bool succeeded() const { return !done.empty() || replica_succeeded; }
   // A replica that keeps ending is not to be started yet.
-  bool HeldBack(uint32_t task, double now) const {
+  bool InRestartBackoff(uint32_t task, double now) const {
     const auto it = restarts.find(task);
     return it != restarts.end() && now < it->second.not_before;
   }
@@ -93,7 +93,7 @@
 };
 
 // What a job of a class usually asks for.
-struct UsualJob {
+struct ClassProfile {
   double tasks = 0;             // smoothed
   JobSpec spec;                 // of the latest
   std::deque<double> arrivals;  // of the latest jobs (time of day, s)
@@ -106,7 +106,7 @@
 class JobTable {
  public:
   Job* Add(std::shared_ptr<const LiveJob> record, uint64_t version,
-           bool inherited, double now);
+           bool from_earlier_term, double now);
   void Remove(const std::string& id);
   void Clear();
   Job* Find(const std::string& id);
@@ -143,15 +143,17 @@
   void LearnRunTime(const JobSpec& spec, double ran_s);
 
   // Nothing until a job of the class has been seen.
-  const UsualJob* Usual(const std::string& job_class) const;
-  const std::map<std::string, UsualJob>& usual_jobs() const { return usual_; }
+  const ClassProfile* Usual(const std::string& job_class) const;
+  const std::map<std::string, ClassProfile>& class_profiles() const {
+    return usual_;
+  }
 
   TeamUse use(const std::string& team) const {
     auto it = use_.find(team);
     return it == use_.end() ? TeamUse() : it->second;
   }
   // Use of tasks whose job has ended but that may still be on a machine.
-  void AddStray(const std::string& team, double cpus, double gpus);
+  void AddOrphanedUsage(const std::string& team, double cpus, double gpus);
 
  private:
   std::map<std::string, std::unique_ptr<Job>> jobs_;
@@ -160,7 +162,7 @@
   bool queue_stale_ = true;
   std::map<std::string, TeamUse> use_;
   std::map<std::string, double> estimate_ratio_;  // by class
-  std::map<std::string, UsualJob> usual_;         // by class
+  std::map<std::string, ClassProfile> usual_;     // by class
 };
 
 }  // namespace sorrelwood
--- a/src/core/machines/machine_table.cc
+++ b/src/core/machines/machine_table.cc
@@ -25,46 +25,47 @@
   if (it->second <= kRounding) team_cpus.erase(it);
 }
 
-void Machine::HoldPlace(double cpus, double gpus, double memory_gb) {
-  ++held_places;
-  held_cpus += cpus;
-  held_gpus += gpus;
-  held_memory += memory_gb;
+void Machine::ReserveCapacity(double cpus, double gpus, double memory_gb) {
+  ++reservations;
+  reserved_cpus += cpus;
+  reserved_gpus += gpus;
+  reserved_memory += memory_gb;
 }
 
-void Machine::FreePlace(double cpus, double gpus, double memory_gb) {
-  --held_places;
-  held_cpus -= cpus;
-  held_gpus -= gpus;
-  held_memory -= memory_gb;
-  if (held_places == 0) held_cpus = held_gpus = held_memory = 0;
+void Machine::ReleaseCapacity(double cpus, double gpus, double memory_gb) {
+  --reservations;
+  reserved_cpus -= cpus;
+  reserved_gpus -= gpus;
+  reserved_memory -= memory_gb;
+  if (reservations == 0) reserved_cpus = reserved_gpus = reserved_memory = 0;
 }
 
-void Machine::Hold(const TaskKey& key, Placed placed) {
-  AddTeamCpus(placed.record->spec.team, placed.cpus);
-  cpus_used += placed.cpus;
-  gpus_used += placed.gpus;
-  memory_used += placed.memory_gb;
+void Machine::AddAttempt(const TaskKey& key, TaskAttempt attempt) {
+  AddTeamCpus(attempt.record->spec.team, attempt.cpus);
+  cpus_used += attempt.cpus;
+  gpus_used += attempt.gpus;
+  memory_used += attempt.memory_gb;
   idle_since = 0;
-  tasks[key] = std::move(placed);
+  attempts[key] = std::move(attempt);
 }
 
-Placed Machine::Drop(std::map<TaskKey, Placed>::iterator it) {
-  Placed placed = std::move(it->second);
-  tasks.erase(it);
-  AddTeamCpus(placed.record->spec.team, -placed.cpus);
-  const std::string& image = placed.record->spec.image;
-  if (placed.running_since == 0 && !fetching.empty() &&
-      std::none_of(tasks.begin(), tasks.end(), [&](const auto& item) {
+TaskAttempt Machine::RemoveAttempt(
+    std::map<TaskKey, TaskAttempt>::iterator it) {
+  TaskAttempt attempt = std::move(it->second);
+  attempts.erase(it);
+  AddTeamCpus(attempt.record->spec.team, -attempt.cpus);
+  const std::string& image = attempt.record->spec.image;
+  if (attempt.running_since == 0 && !fetching.empty() &&
+      std::none_of(attempts.begin(), attempts.end(), [&](const auto& item) {
         return item.second.running_since == 0 &&
                item.second.record->spec.image == image;
       }))
-    EndFetch(image);
-  cpus_used -= placed.cpus;
-  gpus_used -= placed.gpus;
-  memory_used -= placed.memory_gb;
-  if (tasks.empty()) cpus_used = gpus_used = memory_used = 0;
-  return placed;
+    FinishFetch(image);
+  cpus_used -= attempt.cpus;
+  gpus_used -= attempt.gpus;
+  memory_used -= attempt.memory_gb;
+  if (attempts.empty()) cpus_used = gpus_used = memory_used = 0;
+  return attempt;
 }
 
 bool Machine::HasImage(const std::string& image) const {
@@ -72,14 +73,14 @@
          std::find(images.begin(), images.end(), image) != images.end();
 }
 
-void Machine::UseImage(const std::string& image) {
+void Machine::TouchImage(const std::string& image) {
   if (image.empty()) return;
   auto it = std::find(images.begin(), images.end(), image);
   if (it != images.end()) images.erase(it);
   images.push_back(image);
 }
 
-void Machine::EndFetch(const std::string& image) {
+void Machine::FinishFetch(const std::string& image) {
   fetching.erase(std::remove(fetching.begin(), fetching.end(), image),
                  fetching.end());
 }
@@ -100,11 +101,11 @@
 
 size_t MachineTable::RunningReplicas(const Job& job) const {
   size_t running = 0;
-  for (const auto& [task, name] : job.placed) {
+  for (const auto& [task, name] : job.machine_of_task) {
     const auto machine = machines_.find(name);
     if (machine == machines_.end()) continue;
-    const auto it = machine->second->tasks.find({job.id(), task});
-    if (it != machine->second->tasks.end() && it->second.running_since > 0)
+    const auto it = machine->second->attempts.find({job.id(), task});
+    if (it != machine->second->attempts.end() && it->second.running_since > 0)
       ++running;
   }
   return running;
--- a/src/core/model/types.h
+++ b/src/core/model/types.h
@@ -1,4 +1,4 @@
-// The terms of the core: jobs, tasks, attempts, machines, sessions, tokens.
+// The terms of the core: jobs, tasks, attempts, machines, incarnations, tokens.
 #pragma once
 
 #include <cstdint>
@@ -63,7 +63,7 @@
   double times = 1;  // of a deadline
 };
 
-struct Sibling {
+struct Peer {
   std::string name, zone, address;
 };
 
@@ -79,8 +79,8 @@
   std::string node;
   std::string zone;
   std::string listen;
-  std::string mesh_listen;
-  std::vector<Sibling> siblings;
+  std::string peer_listen;
+  std::vector<Peer> peers;
   std::string cloud_address, state_address;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
@@ -125,7 +125,7 @@
   kUnknown
 };
 
-struct TaskReport {
+struct TaskStatus {
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
@@ -134,12 +134,12 @@
   bool saved = false;
 };
 
-struct WorkerReport {
+struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  uint64_t session = 0, sequence = 0, token = 0;
-  std::optional<double> notice_s;
-  std::vector<TaskReport> tasks;
+  uint64_t incarnation = 0, sequence = 0, fencing_token = 0;
+  std::optional<double> preemption_notice_s;
+  std::vector<TaskStatus> tasks;
 };
 
 enum class CommandKind { kStart, kStop, kForget };
@@ -184,7 +184,7 @@
 
 // Which tasks of a job are done, from `first_task` on; not named where the key
 // tells it.
-struct ProgressRecord {
+struct CompletionRecord {
   std::optional<uint32_t> first_task;
   std::string bits_hex;
 };
@@ -195,7 +195,7 @@
 };
 
 // What the controllers tell each other once a second.
-struct MeshNote {
+struct PeerStatus {
   std::string node;
   uint64_t incarnation = 0;
   uint64_t sequence = 0;
