--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -9,13 +9,13 @@
 
 namespace sorrelwood {
 
-bool Placement::Startable(const Job& job) const {
+bool Placement::MayStartTask(const Job& job) const {
   if (job.pending.empty() || job.finishing || context_->now < job.retry_at)
     return false;
-  if (job.failing() && !job.placed.empty()) return false;
+  if (job.failing() && !job.machine_of_task.empty()) return false;
   // A task of a job that an earlier leader knew may be on a machine that has
   // not been heard: guards against running it twice.
-  return !(job.inherited && unaccounted_machines_ > 0);
+  return !(job.from_earlier_term && unreconciled_machines_ > 0);
 }
 
 bool Placement::WithinQuota(const Job& job) const {
@@ -27,9 +27,9 @@
       if (auto it = service_claims_.find(team.name);
           it != service_claims_.end())
         use.cpus += std::max(0.0, it->second);
-    return use.cpus + unaccounted_cpus_ + job.spec().cpus <=
+    return use.cpus + unreconciled_cpus_ + job.spec().cpus <=
                team.cpus_max + kRounding &&
-           use.gpus + unaccounted_gpus_ + job.spec().gpus <=
+           use.gpus + unreconciled_gpus_ + job.spec().gpus <=
                team.gpus_max + kRounding;
   }
   return false;
@@ -48,24 +48,24 @@
 // The first task of a job that has waited too long to begin goes with the
 // guaranteed work, so that no stream of it starves the job; and so do replicas,
 // since the time without them is what counts.
-bool Placement::GoesFirst(const Job& job) const {
-  return job.spec().IsService() || (job.unbegun && job.placed.empty()) ||
-         WithinGuarantee(job);
+bool Placement::HasPrecedence(const Job& job) const {
+  return job.spec().IsService() ||
+         (job.starving && job.machine_of_task.empty()) || WithinGuarantee(job);
 }
 
-bool Placement::Allowed(const Job& job, const Machine& machine) const {
+bool Placement::IsEligible(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
   // It failed there: another machine tells which of the two is at fault.
   if (!job.error_machines.empty() &&
-      context_->now < job.last_error_at + kErrorAvoidS &&
+      context_->now < job.last_error_at + kSuspectMachineAvoidS &&
       job.error_machines.count(machine.name))
     return false;
   if (!machine.type ||
-      !AllowsPlace(spec, *machine.type, machine.zone, machine.spot))
+      !AllowsLocation(spec, *machine.type, machine.zone, machine.spot))
     return false;
-  if (spec.one_zone && !job.placed_in_zone.empty() &&
-      (job.placed_in_zone.size() > 1 ||
-       job.placed_in_zone.begin()->first != machine.zone))
+  if (spec.one_zone && !job.attempts_in_zone.empty() &&
+      (job.attempts_in_zone.size() > 1 ||
+       job.attempts_in_zone.begin()->first != machine.zone))
     return false;
   return SpreadAllows(job, machine.zone, 0);
 }
@@ -73,33 +73,35 @@
 bool Placement::SpreadAllows(const Job& job, const std::string& zone,
                              uint32_t more) {
   if (!job.spec().spread) return true;
-  const auto it = job.placed_in_zone.find(zone);
-  const uint32_t there = it == job.placed_in_zone.end() ? 0 : it->second;
+  const auto it = job.attempts_in_zone.find(zone);
+  const uint32_t there = it == job.attempts_in_zone.end() ? 0 : it->second;
   return there + more < (job.spec().tasks + 1) / 2;
 }
 
-bool Placement::AllowedInsteadOf(const Job& job, const Machine& machine,
-                                 const Machine& from) const {
-  if (Allowed(job, machine)) return true;
+bool Placement::IsEligibleAfterLeaving(const Job& job, const Machine& machine,
+                                       const Machine& from) const {
+  if (IsEligible(job, machine)) return true;
   // Only the task that leaves may be in the way: its zone is freed.
   return machine.type && machine.zone == from.zone &&
-         AllowsPlace(job.spec(), *machine.type, machine.zone, machine.spot);
+         AllowsLocation(job.spec(), *machine.type, machine.zone, machine.spot);
 }
 
-bool Placement::Usable(const Machine& machine) const {
-  return machine.recorded && machine.heard && !machine.set_aside &&
-         !machine.releasing && machine.notice_until == 0 &&
-         context_->now >= machine.refused_until && InReach(machine);
+bool Placement::AcceptsTasks(const Machine& machine) const {
+  return machine.recorded && machine.token_acknowledged &&
+         !machine.quarantined && !machine.terminating &&
+         machine.preemption_deadline == 0 &&
+         context_->now >= machine.refused_until && IsReachable(machine);
 }
 
-bool Placement::InReach(const Machine& machine) const {
-  const double silence = kSilentReports * settings_->report_s;
-  return !machine.deaf && context_->now - machine.last_report < silence &&
-         context_->now - machine.reached_at < silence;
+bool Placement::IsReachable(const Machine& machine) const {
+  const double silence = kSilentHeartbeats * settings_->report_s;
+  return !machine.unreachable &&
+         context_->now - machine.last_heartbeat_at < silence &&
+         context_->now - machine.last_delivery_proof_at < silence;
 }
 
 std::optional<uint32_t> Placement::NextTask(const Job& job, bool owned) const {
-  if (job.failing() && !job.placed.empty()) return std::nullopt;
+  if (job.failing() && !job.machine_of_task.empty()) return std::nullopt;
   if (owned) {
     for (const auto& [task, since] : job.waiting)
       if (job.pending.Contains(task)) return task;
@@ -107,7 +109,8 @@
   }
   for (const auto& [first, last] : job.pending.ranges())
     for (uint32_t task = first; task < last; ++task)
-      if (!job.waiting.count(task) && !job.HeldBack(task, context_->now))
+      if (!job.waiting.count(task) &&
+          !job.InRestartBackoff(task, context_->now))
         return task;
   return std::nullopt;
 }
@@ -115,31 +118,31 @@
 void Placement::Assign(Job* job, uint32_t task, Machine* machine,
                        uint64_t term) {
   const JobSpec& spec = job->spec();
-  Placed placed;
+  TaskAttempt attempt;
   // Unique for ever: the term in the high half, a counter below.
-  placed.attempt = (term << 32) | ++attempts_;
-  placed.cpus = spec.cpus;
-  placed.gpus = spec.gpus;
-  placed.memory_gb = spec.memory_gb;
-  placed.record = job->record;
-  placed.speculative = !machine->base && !job->rented.Contains(task);
+  attempt.number = (term << 32) | ++attempts_;
+  attempt.cpus = spec.cpus;
+  attempt.gpus = spec.gpus;
+  attempt.memory_gb = spec.memory_gb;
+  attempt.record = job->record;
+  attempt.speculative = !machine->baseline && !job->rented.Contains(task);
   if (const auto moved = job->moved_ran_s.find(task);
       moved != job->moved_ran_s.end()) {
-    placed.ran_before_s = moved->second;
+    attempt.ran_before_s = moved->second;
     job->moved_ran_s.erase(moved);
   }
   job->waiting.erase(task);
   if (spec.IsService()) service_claims_[spec.team] -= spec.cpus;
   jobs_->Place(job, task, machine->name, machine->zone);
-  machine->Hold({job->id(), task}, std::move(placed));
+  machine->AddAttempt({job->id(), task}, std::move(attempt));
   if (!machine->HasImage(spec.image)) machine->fetching.push_back(spec.image);
-  machine->UseImage(spec.image);
+  machine->TouchImage(spec.image);
 }
 
-double Placement::Slots(const Machine& machine, const UsualJob& usual,
+double Placement::Slots(const Machine& machine, const ClassProfile& usual,
                         double less_cpus, double less_memory_gb) {
-  if (!machine.type || machine.surplus ||
-      !AllowsPlace(usual.spec, *machine.type, machine.zone, machine.spot))
+  if (!machine.type || machine.excess ||
+      !AllowsLocation(usual.spec, *machine.type, machine.zone, machine.spot))
     return 0;
   const double cpus = machine.cpus_free() - less_cpus;
   const double memory_gb = machine.memory_free() - less_memory_gb;
@@ -149,26 +152,28 @@
   return std::max(0.0, std::floor(slots + 1e-6));
 }
 
-bool Placement::AllowsPlace(const JobSpec& spec, const MachineType& type,
-                            const std::string& zone, bool spot) {
+bool Placement::AllowsLocation(const JobSpec& spec, const MachineType& type,
+                               const std::string& zone, bool spot) {
   if (spot && !spec.spot) return false;
   if (!spec.zone.empty() && spec.zone != zone) return false;
   return spec.types.empty() || std::find(spec.types.begin(), spec.types.end(),
                                          type.name) != spec.types.end();
 }
 
-double Placement::StandbyRoom(const Machine& machine, const UsualJob& usual) {
+double Placement::HeadroomSlots(const Machine& machine,
+                                const ClassProfile& usual) {
   double cpus = 0, memory_gb = 0;
-  for (const auto& [key, placed] : machine.tasks) {
-    const JobSpec& spec = placed.record->spec;
+  for (const auto& [key, attempt] : machine.attempts) {
+    const JobSpec& spec = attempt.record->spec;
     if (spec.IsService() || spec.priority >= usual.spec.priority) continue;
-    cpus += placed.cpus;
-    memory_gb += placed.memory_gb;
+    cpus += attempt.cpus;
+    memory_gb += attempt.memory_gb;
   }
   return Slots(machine, usual, -cpus, -memory_gb);
 }
 
-double Placement::SlotsOf(const MachineType& type, const UsualJob& usual) {
+double Placement::SlotsOnType(const MachineType& type,
+                              const ClassProfile& usual) {
   double slots = type.cpus / std::max(usual.spec.cpus, kLeastTaskCpus);
   if (usual.spec.memory_gb > 0)
     slots = std::min(slots, type.memory_gb / usual.spec.memory_gb);
@@ -203,25 +208,25 @@
 // the time since the first tells the rate. Guards against room that is paid for
 // without end after the last service of a class has come, or that its team
 // could never use.
-double Placement::StandbySlots(const UsualJob& usual) const {
+double Placement::StandbySlots(const ClassProfile& usual) const {
   const std::deque<double>& arrivals = usual.arrivals;
   if (arrivals.empty()) return 0;
   const auto [first, last] =
       std::minmax_element(arrivals.begin(), arrivals.end());
-  if (context_->wall - *last > kStandbyMemoryS) return 0;
+  if (context_->wall - *last > kHeadroomMemoryS) return 0;
   const auto recent = std::count_if(
       arrivals.begin(), arrivals.end(),
       [&](double at) { return context_->wall - at < kArrivalWindowS; });
   const double span =
       std::clamp(context_->wall - *first, kLeastArrivalSpanS, kArrivalWindowS);
   const double in_a_boot = static_cast<double>(recent) * ShortestBootS() / span;
-  const double slots = std::ceil(usual.tasks * (kStandbyJobs + in_a_boot));
+  const double slots = std::ceil(usual.tasks * (kHeadroomJobs + in_a_boot));
   return std::min(slots, SlotsUnderLimit(usual.spec));
 }
 
-std::vector<Placement::Standby> Placement::StandbyNeeds() const {
-  std::vector<Standby> needs;
-  for (const auto& [job_class, usual] : jobs_->usual_jobs())
+std::vector<Placement::Headroom> Placement::HeadroomNeeds() const {
+  std::vector<Headroom> needs;
+  for (const auto& [job_class, usual] : jobs_->class_profiles())
     if (usual.spec.IsService())
       needs.push_back({job_class, usual, StandbySlots(usual)});
   return needs;
@@ -232,14 +237,15 @@
   reserves_stale_ = false;
   std::vector<std::string> classes;
   for (const Objective& objective : settings_->objectives)
-    if (objective.kind == "wait" && objective.within_s <= kReserveWithinS)
+    if (objective.kind == "wait" &&
+        objective.within_s <= kImmediateStartWithinS)
       classes.push_back(objective.job_class);
-  for (const auto& [job_class, usual] : jobs_->usual_jobs())
+  for (const auto& [job_class, usual] : jobs_->class_profiles())
     if (usual.spec.IsService() &&
         std::find(classes.begin(), classes.end(), job_class) == classes.end())
       classes.push_back(job_class);
   for (const std::string& job_class : classes) {
-    const UsualJob* usual = jobs_->Usual(job_class);
+    const ClassProfile* usual = jobs_->Usual(job_class);
     if (!usual) continue;
     Reserve reserve;
     reserve.job_class = job_class;
@@ -250,7 +256,7 @@
     for (const auto& [name, machine] : machines_->all()) {
       machine->reserve_slots.resize(index + 1);
       double& slots = machine->reserve_slots[index] = 0;
-      if (!Usable(*machine)) continue;
+      if (!AcceptsTasks(*machine)) continue;
       reserve.free[machine->zone] += slots = Slots(*machine, *usual, 0, 0);
       total +=
           Slots(*machine, *usual, -machine->cpus_used, -machine->memory_used);
@@ -316,20 +322,20 @@
   const bool at_once = StartsAtOnce(job);
   context_->work += candidates.size();
   for (Machine* machine : candidates) {
-    if (owned_only && !machine->base) continue;
-    if (!machine->Fits(job.spec()) || !Allowed(job, *machine) ||
+    if (owned_only && !machine->baseline) continue;
+    if (!machine->Fits(job.spec()) || !IsEligible(job, *machine) ||
         !LeavesReserves(job, *machine) || KeptFor(owed, job, *machine))
       continue;
     // The image decides between equals, and before the fit where its fetch is
     // long beside the task. What is to start at once goes where its image is,
     // and among such machines to the next to report.
     const bool fetch = !machine->HasImage(job.spec().image);
-    const Rank rank{machine->surplus,
+    const Rank rank{machine->excess,
                     at_once && fetch,
                     ReplicasOn(job, *machine),
-                    at_once ? machine->last_report : 0,
-                    !machine->base,
-                    spread_ && spread_->Crowds(job, *machine),
+                    at_once ? machine->last_heartbeat_at : 0,
+                    !machine->baseline,
+                    spread_ && spread_->WouldCrowd(job, *machine),
                     fetch && LongFetch(job, *machine),
                     machine->cpus_free(),
                     fetch,
@@ -344,7 +350,7 @@
 size_t Placement::ReplicasOn(const Job& job, const Machine& machine) {
   if (!job.spec().IsService()) return 0;
   return static_cast<size_t>(std::count_if(
-      job.placed.begin(), job.placed.end(),
+      job.machine_of_task.begin(), job.machine_of_task.end(),
       [&](const auto& item) { return item.second == machine.name; }));
 }
 
@@ -356,7 +362,7 @@
 void Placement::ClaimForServices() {
   service_claims_.clear();
   for (const Job* job : jobs_->services()) {
-    if (!Startable(*job)) continue;
+    if (!MayStartTask(*job)) continue;
     service_claims_[job->spec().team] +=
         job->PendingNow(context_->now) * job->spec().cpus;
   }
@@ -365,16 +371,16 @@
 std::vector<Job*> Placement::Front() {
   ClaimForServices();
   std::vector<Job*> front;
-  // Beyond the first jobs each team has a part of the front: guards against a
-  // team with much work filling it and going beyond its guarantee while another
-  // is kept from its own.
+  // Beyond the first jobs each team has a part of the front: preconditions
+  // against a team with much work filling it and going beyond its guarantee
+  // while another is kept from its own.
   std::map<std::string_view, size_t> of_team;
   size_t full = 0;  // teams that have their part
   for (Job* job : jobs_->queue()) {
     ++context_->work;
     size_t& taken = of_team[job->spec().team];
     if ((front.size() >= kFrontJobs && taken >= kFrontJobsOfTeam) ||
-        !Startable(*job) || !WithinQuota(*job))
+        !MayStartTask(*job) || !WithinQuota(*job))
       continue;
     front.push_back(job);
     if (++taken == kFrontJobsOfTeam) ++full;
@@ -393,7 +399,7 @@
   const size_t looked_at = std::min(front.size(), kSampleJobs);
   std::stable_partition(
       candidates->begin(), candidates->end(), [&](const Machine* machine) {
-        return machine->base ||
+        return machine->baseline ||
                std::any_of(front.begin(),
                            front.begin() + static_cast<ptrdiff_t>(looked_at),
                            [&](const Job* job) {
@@ -403,7 +409,7 @@
   candidates->resize(kSampleMachines);
 }
 
-void Placement::Pass(uint64_t term) {
+void Placement::RunPass(uint64_t term) {
   const std::vector<Job*> front = Front();
   reserves_stale_ = front.empty();
   if (front.empty()) return;
@@ -411,7 +417,7 @@
   std::vector<Machine*> candidates;
   context_->work += machines_->all().size();
   for (auto& [name, machine] : machines_->all())
-    if (machine->cpus_free() > 0 && Usable(*machine))
+    if (machine->cpus_free() > 0 && AcceptsTasks(*machine))
       candidates.push_back(machine.get());
   if (candidates.empty()) return;
   if (spread_) spread_->Update(context_->now);
@@ -424,10 +430,10 @@
       for (const bool owned : {true, false}) {
         // The best fit stays the best until it is full.
         while (NextTask(*job, owned) && WithinQuota(*job) &&
-               (!guaranteed || GoesFirst(*job))) {
+               (!guaranteed || HasPrecedence(*job))) {
           Machine* machine = BestFit(*job, candidates, owned, owed);
           if (!machine) break;
-          const bool even = spread_ && !spread_->Crowds(*job, *machine);
+          const bool even = spread_ && !spread_->WouldCrowd(*job, *machine);
           if (!Put(job, owned, guaranteed, even, machine, term)) break;
         }
       }
@@ -435,8 +441,8 @@
   }
 }
 
-void Placement::Fill(Machine* machine, uint64_t term) {
-  if (!Usable(*machine) || machine->surplus || machine->cpus_free() <= 0)
+void Placement::FillMachine(Machine* machine, uint64_t term) {
+  if (!AcceptsTasks(*machine) || machine->excess || machine->cpus_free() <= 0)
     return;
   const std::vector<Job*> front = Front();
   if (front.empty()) return;
@@ -448,9 +454,9 @@
     for (Job* job : front) {
       if (KeptFor(owed, *job, *machine)) continue;
       for (const bool owned : {true, false}) {
-        if (owned && !machine->base) continue;
-        Put(job, owned, guaranteed, /*even=*/spread_ && !machine->base, machine,
-            term);
+        if (owned && !machine->baseline) continue;
+        Put(job, owned, guaranteed, /*even=*/spread_ && !machine->baseline,
+            machine, term);
       }
       if (machine->cpus_free() <= 0) return;
     }
@@ -462,10 +468,10 @@
 bool Placement::Put(Job* job, bool owned, bool guaranteed, bool even,
                     Machine* machine, uint64_t term) {
   bool any = false;
-  while (machine->Fits(job->spec()) && Allowed(*job, *machine) &&
+  while (machine->Fits(job->spec()) && IsEligible(*job, *machine) &&
          WithinQuota(*job) && LeavesReserves(*job, *machine) &&
-         (!guaranteed || GoesFirst(*job)) &&
-         (!even || !spread_->Crowds(*job, *machine))) {
+         (!guaranteed || HasPrecedence(*job)) &&
+         (!even || !spread_->WouldCrowd(*job, *machine))) {
     const auto task = NextTask(*job, owned);
     if (!task) break;
     AssignCounted(job, *task, machine, term);
@@ -477,13 +483,13 @@
 std::vector<const Job*> Placement::Owed(const std::vector<Job*>& front) const {
   std::vector<const Job*> owed;
   for (const Job* job : front)
-    if (GoesFirst(*job) && WithinQuota(*job) && NextTask(*job, false))
+    if (HasPrecedence(*job) && WithinQuota(*job) && NextTask(*job, false))
       owed.push_back(job);
   return owed;
 }
 
 bool Placement::CouldHold(const Machine& machine, const Job& job) const {
-  return machine.type && Allowed(job, machine) &&
+  return machine.type && IsEligible(job, machine) &&
          job.spec().cpus <= machine.type->cpus &&
          job.spec().gpus <= machine.type->gpus &&
          job.spec().memory_gb <= machine.type->memory_gb;
@@ -491,7 +497,7 @@
 
 bool Placement::KeptFor(const std::vector<const Job*>& owed, const Job& job,
                         const Machine& machine) const {
-  if (owed.empty() || !machine.type || GoesFirst(job) ||
+  if (owed.empty() || !machine.type || HasPrecedence(job) ||
       jobs_->Estimate(job.spec()) <= machine.type->boot_s)
     return false;
   return std::any_of(owed.begin(), owed.end(), [&](const Job* waiting) {
@@ -499,14 +505,14 @@
   });
 }
 
-bool Placement::Movable(const Placed& placed) const {
-  const JobSpec& spec = placed.record->spec;
-  return placed.job_live && !placed.stop && placed.running_since > 0 &&
-         context_->now - placed.running_since > kMoveAfterS &&
+bool Placement::IsPreemptible(const TaskAttempt& attempt) const {
+  const JobSpec& spec = attempt.record->spec;
+  return attempt.job_active && !attempt.stop && attempt.running_since > 0 &&
+         context_->now - attempt.running_since > kMoveAfterS &&
          spec.checkpoint_s > 0 && spec.save_s <= kMoveSaveS;
 }
 
-void Placement::MakeRoom() {
+void Placement::PreemptForGuarantees() {
   const std::vector<Job*> front = Front();
   const std::vector<const Job*> owed = Owed(front);
   if (owed.empty()) return;
@@ -519,20 +525,20 @@
   struct Room {
     Machine* machine = nullptr;
     double cpus = 0, memory_gb = 0;  // free, or about to be
-    std::vector<Placed*> could_stop;
+    std::vector<TaskAttempt*> could_stop;
   };
   std::vector<Room> rooms;
   context_->work += machines_->all().size();
   for (auto& [name, machine] : machines_->all()) {
-    if (!Usable(*machine) || !machine->type) continue;
+    if (!AcceptsTasks(*machine) || !machine->type) continue;
     Room room{machine.get(), machine->cpus_free(), machine->memory_free(), {}};
-    for (auto& [key, placed] : machine->tasks) {
-      if (placed.stop) {
-        room.cpus += placed.cpus;
-        room.memory_gb += placed.memory_gb;
-      } else if (beyond[placed.record->spec.team] >= placed.cpus &&
-                 Movable(placed)) {
-        room.could_stop.push_back(&placed);
+    for (auto& [key, attempt] : machine->attempts) {
+      if (attempt.stop) {
+        room.cpus += attempt.cpus;
+        room.memory_gb += attempt.memory_gb;
+      } else if (beyond[attempt.record->spec.team] >= attempt.cpus &&
+                 IsPreemptible(attempt)) {
+        room.could_stop.push_back(&attempt);
       }
     }
     // A machine that is full of what may not be stopped is no room.
@@ -556,23 +562,23 @@
         if (!CouldHold(*room.machine, *job)) continue;
         if (make) {
           double cpus = room.cpus, memory_gb = room.memory_gb;
-          for (const Placed* placed : room.could_stop) {
-            cpus += placed->cpus;
-            memory_gb += placed->memory_gb;
+          for (const TaskAttempt* attempt : room.could_stop) {
+            cpus += attempt->cpus;
+            memory_gb += attempt->memory_gb;
           }
           if (spec.cpus > cpus || spec.memory_gb > memory_gb) continue;
         }
         while (wanted()) {
           while (make && !fits(room) && !room.could_stop.empty()) {
-            Placed* placed = room.could_stop.back();
+            TaskAttempt* attempt = room.could_stop.back();
             room.could_stop.pop_back();
-            double& over = beyond[placed->record->spec.team];
-            if (over < placed->cpus) continue;
-            over -= placed->cpus;
-            placed->stop = true;
-            placed->stop_grace_s = placed->record->spec.save_s + 1;
-            room.cpus += placed->cpus;
-            room.memory_gb += placed->memory_gb;
+            double& over = beyond[attempt->record->spec.team];
+            if (over < attempt->cpus) continue;
+            over -= attempt->cpus;
+            attempt->stop = true;
+            attempt->stop_grace_s = attempt->record->spec.save_s + 1;
+            room.cpus += attempt->cpus;
+            room.memory_gb += attempt->memory_gb;
           }
           if (!fits(room)) break;
           room.cpus -= spec.cpus;
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -23,7 +23,7 @@
   // Demand and capacity may have changed; called once before a pass.
   virtual void Update(double now) = 0;
   // One more task of the job would crowd the machine: others go first.
-  virtual bool Crowds(const Job& job, const Machine& machine) const = 0;
+  virtual bool WouldCrowd(const Job& job, const Machine& machine) const = 0;
   // Among machines that are equal otherwise the least goes first.
   virtual uint64_t TieBreak(const Job& job, const Machine& machine) const = 0;
 };
@@ -41,87 +41,89 @@
   void set_spread(PlacementSpread* spread) { spread_ = spread; }
 
   // Matches the front of the queue with the machines that have room.
-  void Pass(uint64_t term);
+  void RunPass(uint64_t term);
   // Fills the room of one machine, which is reporting just now.
-  void Fill(Machine* machine, uint64_t term);
+  void FillMachine(Machine* machine, uint64_t term);
 
   // May `job` have a task started at all now?
-  bool Startable(const Job& job) const;
+  bool MayStartTask(const Job& job) const;
   bool WithinQuota(const Job& job) const;
   // One more task keeps the team within its guarantee: it need not wait for
   // other teams.
   bool WithinGuarantee(const Job& job) const;
-  bool GoesFirst(const Job& job) const;
+  bool HasPrecedence(const Job& job) const;
   // Type, zone, kind and the job's other tasks allow the machine.
-  bool Allowed(const Job& job, const Machine& machine) const;
+  bool IsEligible(const Job& job, const Machine& machine) const;
   // The same for a task of the job that leaves `from`.
-  bool AllowedInsteadOf(const Job& job, const Machine& machine,
-                        const Machine& from) const;
+  bool IsEligibleAfterLeaving(const Job& job, const Machine& machine,
+                              const Machine& from) const;
   // `more` and one further task in the zone keep the job spread over zones.
   static bool SpreadAllows(const Job& job, const std::string& zone,
                            uint32_t more);
-  bool Usable(const Machine& machine) const;
+  bool AcceptsTasks(const Machine& machine) const;
   // It reports, and what we answer arrives there.
-  bool InReach(const Machine& machine) const;
+  bool IsReachable(const Machine& machine) const;
   // The next pending task; `owned` asks for those that wait for owned room.
   std::optional<uint32_t> NextTask(const Job& job, bool owned) const;
 
-  // Room that machines with unknown tasks may take of any team's limit: guards
-  // against a new leader going over a limit with what the old one placed.
-  void set_unaccounted(int machines, double cpus, double gpus) {
-    unaccounted_machines_ = machines;
-    unaccounted_cpus_ = cpus;
-    unaccounted_gpus_ = gpus;
+  // Room that machines with unknown tasks may take of any team's limit:
+  // guards against a new leader going over a limit with what the old one
+  // placed.
+  void set_unreconciled(int machines, double cpus, double gpus) {
+    unreconciled_machines_ = machines;
+    unreconciled_cpus_ = cpus;
+    unreconciled_gpus_ = gpus;
   }
-  int unaccounted() const { return unaccounted_machines_; }
+  int unreconciled() const { return unreconciled_machines_; }
 
   void Assign(Job* job, uint32_t task, Machine* machine, uint64_t term);
 
   // Room that is to be there for replicas that are yet to come. Other work may
   // use it meanwhile, but for the room of one usual job.
-  struct Standby {
+  struct Headroom {
     std::string job_class;
-    UsualJob usual;
+    ClassProfile usual;
     double slots = 0;  // for so many replicas
     // Slots that count in one zone, so that a job can be spread.
     double OfAZone() const {
       return usual.spec.spread ? std::ceil(slots / 2) : slots;
     }
   };
-  std::vector<Standby> StandbyNeeds() const;
+  std::vector<Headroom> HeadroomNeeds() const;
   // Usual tasks that the machine has room for beside what it holds, all that
   // may be stopped for them left out.
-  static double StandbyRoom(const Machine& machine, const UsualJob& usual);
-  static double SlotsOf(const MachineType& type, const UsualJob& usual);
+  static double HeadroomSlots(const Machine& machine,
+                              const ClassProfile& usual);
+  static double SlotsOnType(const MachineType& type, const ClassProfile& usual);
   // The job names the type, the zone and the kind, or none of them.
-  static bool AllowsPlace(const JobSpec& spec, const MachineType& type,
-                          const std::string& zone, bool spot);
+  static bool AllowsLocation(const JobSpec& spec, const MachineType& type,
+                             const std::string& zone, bool spot);
 
   // Stops what teams run beyond their guarantee, as far as others wait for
   // theirs and it can save its progress.
-  void MakeRoom();
+  void PreemptForGuarantees();
   // It has run long enough and can save its progress soon.
-  bool Movable(const Placed& placed) const;
+  bool IsPreemptible(const TaskAttempt& attempt) const;
 
  private:
   // Room kept free for classes that are to start at once.
   struct Reserve {
     std::string job_class;
-    UsualJob usual;
+    ClassProfile usual;
     double slots = 0;                    // that are to stay free
     std::map<std::string, double> free;  // that are free now, by zone
     // Free slots that count: of a zone no more than may be in one.
     double Covered() const;
   };
-  // Counted over the fleet at each pass only: guards against a leader whose
-  // every report costs a look at all machines. In between each machine is
+  // Counted over the fleet at each pass only: guards against a leader
+  // whose every report costs a look at all machines. In between each machine is
   // counted anew when it reports, since room that has come free there must
   // count, or it stays empty until the next report.
   void MeasureReserves();
   void Recount(Machine* machine);
-  static double Slots(const Machine& machine, const UsualJob& usual,
+  static double Slots(const Machine& machine, const ClassProfile& usual,
                       double less_cpus, double less_memory_gb);
-  double StandbySlots(const UsualJob& usual) const;
+  double StandbySlots(const ClassProfile& usual) const;
   // Further tasks of the kind that the team's limit lets run.
   double SlotsUnderLimit(const JobSpec& spec) const;
   double ShortestBootS() const;
@@ -160,8 +162,8 @@
   MachineTable* machines_;
   const ClusterSettings* settings_;
   PlacementSpread* spread_ = nullptr;
-  int unaccounted_machines_ = 0;
-  double unaccounted_cpus_ = 0, unaccounted_gpus_ = 0;
+  int unreconciled_machines_ = 0;
+  double unreconciled_cpus_ = 0, unreconciled_gpus_ = 0;
   uint32_t attempts_ = 0;
   // What replicas that wait will take of their team's limit, by team. Guards
   // against other tasks of the team taking what was freed for them.
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -23,20 +23,20 @@
   memory_gb -= spec.memory_gb;
 }
 
-void Preemption::Room::Give(const Placed& placed) {
-  cpus += placed.cpus;
-  gpus += placed.gpus;
-  memory_gb += placed.memory_gb;
+void Preemption::Room::Give(const TaskAttempt& attempt) {
+  cpus += attempt.cpus;
+  gpus += attempt.gpus;
+  memory_gb += attempt.memory_gb;
 }
 
 std::vector<Preemption::Room> Preemption::Rooms() const {
   std::vector<Room> rooms;
   for (auto& [name, machine] : machines_->all()) {
-    if (!machine->type || !placement_->Usable(*machine)) continue;
+    if (!machine->type || !placement_->AcceptsTasks(*machine)) continue;
     Room room{machine.get(), machine->cpus_free(), machine->gpus_free(),
               machine->memory_free()};
-    for (const auto& [key, placed] : machine->tasks)
-      if (placed.stop) room.Give(placed);
+    for (const auto& [key, attempt] : machine->attempts)
+      if (attempt.stop) room.Give(attempt);
     rooms.push_back(room);
   }
   // Beyond so many machines a sample has to do: each waiting replica looks at
@@ -48,24 +48,24 @@
   return rooms;
 }
 
-bool Preemption::MayStopFor(const Job& job, const Placed& placed) {
-  const JobSpec& spec = placed.record->spec;
-  return !placed.stop && placed.job_live && !spec.IsService() &&
-         placed.phase == PlacedPhase::kPresent &&
+bool Preemption::MayStopFor(const Job& job, const TaskAttempt& attempt) {
+  const JobSpec& spec = attempt.record->spec;
+  return !attempt.stop && attempt.job_active && !spec.IsService() &&
+         attempt.phase == AttemptPhase::kConfirmed &&
          spec.priority < job.spec().priority;
 }
 
-double Preemption::LostWork(const Placed& placed) const {
-  const JobSpec& spec = placed.record->spec;
+double Preemption::LostWork(const TaskAttempt& attempt) const {
+  const JobSpec& spec = attempt.record->spec;
   const double ran =
-      placed.running_since > 0 ? context_->now - placed.running_since : 0;
+      attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
   return spec.cpus * (spec.checkpoint_s > 0 ? spec.save_s : ran);
 }
 
-void Preemption::Stop(Placed* placed) {
-  const JobSpec& spec = placed->record->spec;
-  placed->stop = true;
-  placed->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
+void Preemption::Stop(TaskAttempt* attempt) {
+  const JobSpec& spec = attempt->record->spec;
+  attempt->stop = true;
+  attempt->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
 }
 
 uint32_t Preemption::MakeRoomUnderLimit(const Job& job, uint32_t waiting) {
@@ -75,57 +75,57 @@
     if (team.name == spec.team) limit = team.cpus_max;
   double left = limit - jobs_->use(spec.team).cpus;
   if (waiting * spec.cpus <= left + kRounding) return waiting;
-  std::vector<std::pair<double, Placed*>> candidates;
+  std::vector<std::pair<double, TaskAttempt*>> candidates;
   for (auto& [name, machine] : machines_->all()) {
-    for (auto& [key, placed] : machine->tasks) {
-      if (placed.record->spec.team != spec.team) continue;
-      if (placed.stop)
-        left += placed.cpus;
-      else if (MayStopFor(job, placed))
-        candidates.emplace_back(LostWork(placed), &placed);
+    for (auto& [key, attempt] : machine->attempts) {
+      if (attempt.record->spec.team != spec.team) continue;
+      if (attempt.stop)
+        left += attempt.cpus;
+      else if (MayStopFor(job, attempt))
+        candidates.emplace_back(LostWork(attempt), &attempt);
     }
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [lost_work, placed] : candidates) {
+  for (const auto& [lost_work, attempt] : candidates) {
     if (waiting * spec.cpus <= left + kRounding) break;
-    Stop(placed);
-    left += placed->cpus;
+    Stop(attempt);
+    left += attempt->cpus;
   }
   const double fit = std::floor(left / spec.cpus + kRounding);
   return static_cast<uint32_t>(std::clamp<double>(fit, 0, waiting));
 }
 
 Preemption::Victims Preemption::Choose(const Job& job, const Room& room) const {
-  std::vector<std::pair<double, Placed*>> candidates;
-  for (auto& [key, placed] : room.machine->tasks)
-    if (MayStopFor(job, placed))
-      candidates.emplace_back(LostWork(placed), &placed);
+  std::vector<std::pair<double, TaskAttempt*>> candidates;
+  for (auto& [key, attempt] : room.machine->attempts)
+    if (MayStopFor(job, attempt))
+      candidates.emplace_back(LostWork(attempt), &attempt);
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
   Victims victims;
   Room after = room;
-  for (const auto& [lost_work, placed] : candidates) {
+  for (const auto& [lost_work, attempt] : candidates) {
     if (after.Fits(job.spec())) break;
-    after.Give(*placed);
-    victims.tasks.push_back(placed);
+    after.Give(*attempt);
+    victims.attempts.push_back(attempt);
     victims.lost_work += lost_work;
   }
-  if (!after.Fits(job.spec())) victims.tasks.clear();
+  if (!after.Fits(job.spec())) victims.attempts.clear();
   return victims;
 }
 
 void Preemption::MakeRoomFor(const Job& job, std::vector<Room>* rooms) {
   const JobSpec& spec = job.spec();
   uint32_t waiting =
-      placement_->Startable(job) ? job.PendingNow(context_->now) : 0;
+      placement_->MayStartTask(job) ? job.PendingNow(context_->now) : 0;
   if (spec.cpus > 0) waiting = MakeRoomUnderLimit(job, waiting);
   if (waiting == 0) return;
   // Those that were stopped for the limit are room by now.
   if (rooms->empty()) *rooms = Rooms();
   std::map<std::string, uint32_t> planned;  // by zone
   const auto allowed = [&](const Room& room) {
-    return placement_->Allowed(job, *room.machine) &&
+    return placement_->IsEligible(job, *room.machine) &&
            placement_->SpreadAllows(job, room.machine->zone,
                                     planned[room.machine->zone]);
   };
@@ -140,23 +140,23 @@
         break;
       }
       Victims victims = Choose(job, room);
-      if (victims.tasks.empty() ||
+      if (victims.attempts.empty() ||
           (best && victims.lost_work >= least.lost_work))
         continue;
       best = &room;
       least = std::move(victims);
     }
     if (!best) return;
-    for (Placed* placed : least.tasks) {
-      Stop(placed);
-      best->Give(*placed);
+    for (TaskAttempt* attempt : least.attempts) {
+      Stop(attempt);
+      best->Give(*attempt);
     }
     best->Take(spec);
     ++planned[best->machine->zone];
   }
 }
 
-void Preemption::MakeRoomForServices() {
+void Preemption::PreemptForServices() {
   std::vector<Room> rooms;
   for (const Job* job : jobs_->services()) {
     if (job->pending.empty()) continue;
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -25,7 +25,7 @@
 
   // Stops tasks of lower priority where replicas of services wait for room, as
   // few as it takes. Room that is coming free already is counted first.
-  void MakeRoomForServices();
+  void PreemptForServices();
 
  private:
   // What a machine has free once its tasks that are told to stop have ended.
@@ -34,11 +34,11 @@
     double cpus = 0, gpus = 0, memory_gb = 0;
     bool Fits(const JobSpec& spec) const;
     void Take(const JobSpec& spec);
-    void Give(const Placed& placed);
+    void Give(const TaskAttempt& attempt);
   };
   // Tasks to stop on one machine, and the core-seconds of work that it costs.
   struct Victims {
-    std::vector<Placed*> tasks;
+    std::vector<TaskAttempt*> attempts;
     double lost_work = 0;
   };
 
@@ -51,10 +51,10 @@
   // that is too few, tasks of lower priority of the same team are stopped.
   uint32_t MakeRoomUnderLimit(const Job& job, uint32_t waiting);
   // It may be stopped for a task of the job.
-  static bool MayStopFor(const Job& job, const Placed& placed);
+  static bool MayStopFor(const Job& job, const TaskAttempt& attempt);
   // The core-seconds of work that stopping it costs.
-  double LostWork(const Placed& placed) const;
-  static void Stop(Placed* placed);
+  double LostWork(const TaskAttempt& attempt) const;
+  static void Stop(TaskAttempt* attempt);
 
   Context* context_;
   JobTable* jobs_;
--- a/src/core/scheduling/replicas.h
+++ b/src/core/scheduling/replica_manager.h
@@ -11,10 +11,10 @@
 
 namespace sorrelwood {
 
-class ReplicaKeeper {
+class ReplicaManager {
  public:
-  ReplicaKeeper(Context* context, JobTable* jobs, MachineTable* machines,
-                const Placement* placement)
+  ReplicaManager(Context* context, JobTable* jobs, MachineTable* machines,
+                 const Placement* placement)
       : context_(context),
         jobs_(jobs),
         machines_(machines),
@@ -22,7 +22,7 @@
 
   // The machine's report shows the replica running. True when it has just run
   // long enough to show that neither job nor machine is at fault.
-  bool BecameStable(Job* job, uint32_t task, Placed* placed);
+  bool BecameStable(Job* job, uint32_t task, TaskAttempt* attempt);
   // The replica ended by itself, or was refused, after `ran_s` of running. It
   // starts again at once the first time, then at a falling rate.
   void Ended(Job* job, uint32_t task, double ran_s);
@@ -33,12 +33,12 @@
   // Counts the time without replicas; called at every tick of a leader.
   void CountTime();
 
-  struct Figures {
+  struct Statistics {
     size_t wanted = 0, running = 0;
     uint64_t restarted = 0;  // since this process began to lead
     double without_s = 0;    // seconds that wanted replicas did not run
   };
-  Figures Measure() const;
+  Statistics CollectStatistics() const;
 
  private:
   bool HasPlaceElsewhere(const Job& job, const Machine& machine) const;
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -10,14 +10,15 @@
   f.cpus = cpus;
   double owned_cpus = 0, used_cpus = 0, owned_gb = 0, used_gb = 0, age = 0;
   for (const auto& [name, machine] : machines_->all()) {
-    if (!machine->base || !machine->type) continue;
+    if (!machine->baseline || !machine->type) continue;
     owned_cpus += machine->type->cpus;
     owned_gb += machine->type->memory_gb;
     used_cpus += machine->cpus_used;
     used_gb += machine->memory_used;
-    for (const auto& [key, placed] : machine->tasks) {
+    for (const auto& [key, attempt] : machine->attempts) {
       f.running += 1;
-      if (placed.running_since > 0) age += context_->now - placed.running_since;
+      if (attempt.running_since > 0)
+        age += context_->now - attempt.running_since;
     }
   }
   if (owned_cpus > 0) f.cpu_utilisation = used_cpus / owned_cpus;
@@ -41,7 +42,7 @@
 }
 
 void WaitingPolicy::LearnStart(Job* job, const Machine& machine) {
-  if (job->sampled || !machine.base || job->features.empty()) return;
+  if (job->sampled || !machine.baseline || job->features.empty()) return;
   job->sampled = true;
   FeatureVector features;
   std::copy(job->features.begin(), job->features.end(), features.begin());
@@ -70,21 +71,21 @@
     }
   }
   for (const auto& [name, machine] : machines_->all()) {
-    if (machine->base) continue;
-    for (auto& [key, placed] : machine->tasks) {
-      if (!placed.speculative || placed.stop || placed.running_since == 0 ||
-          placed.ran_before_s + context_->now - placed.running_since <
+    if (machine->baseline) continue;
+    for (auto& [key, attempt] : machine->attempts) {
+      if (!attempt.speculative || attempt.stop || attempt.running_since == 0 ||
+          attempt.ran_before_s + context_->now - attempt.running_since <
               policy_.speculation_s)
         continue;
       Job* job = jobs_->Find(key.first);
       if (!job || job->spec().IsService()) continue;
       // Until the first fit all jobs wait.
       const auto wait = predictor_.Predict(ToVector(Observe(job->spec().cpus)));
-      placed.stop = true;
-      placed.stop_grace_s =
+      attempt.stop = true;
+      attempt.stop_grace_s =
           job->spec().checkpoint_s > 0 ? job->spec().save_s : 0;
-      placed.requeue_waiting = !wait || *wait < policy_.wait_limit_s;
-      placed.requeue_rented = !placed.requeue_waiting;
+      attempt.requeue_for_baseline = !wait || *wait < policy_.wait_limit_s;
+      attempt.requeue_on_rented = !attempt.requeue_for_baseline;
       ++killed_;
     }
   }
--- /dev/null
+++ b/src/core/workers/health_monitor.cc
@@ -0,0 +1,193 @@
+#include "core/workers/health_monitor.h"
+
+#include <algorithm>
+#include <string>
+#include <utility>
+
+#include "base/constants.h"
+
+namespace sorrelwood {
+
+void HealthMonitor::Begin() {
+  ++generation_;
+  term_started_at_ = context_->now;
+}
+
+double HealthMonitor::UnreachableThreshold() const {
+  return Silence() + kPushTimeoutS + kPushIntervalS;
+}
+
+double HealthMonitor::EarlierTermTasksUntil() const {
+  return term_started_at_ + election_->worker_lease_renewal_window_s() +
+         Lease();
+}
+
+void HealthMonitor::OnProcessPause(double gap_s) {
+  for (auto& [name, machine] : machines_->all()) {
+    machine->last_contact_at += gap_s;
+    machine->last_heartbeat_at += gap_s;
+    machine->last_delivery_proof_at += gap_s;
+    machine->delivery_unproven_since += gap_s;
+  }
+}
+
+// Its reports come and are answered, but for longer than its lease no answer is
+// proved to have arrived; a slow one is far from that. It is not answered any
+// more. Guards against a machine that swallows tasks which never start.
+void HealthMonitor::MarkUnreachable(Machine* machine) const {
+  const double unproved =
+      machine->last_answered_at - machine->delivery_unproven_since;
+  if (machine->unreachable || !machine->token_acknowledged ||
+      unproved <= Lease() + Silence())
+    return;
+  machine->unreachable = true;
+  context_->Info(machine->name + " reports but nothing reaches it");
+}
+
+HealthMonitor::Census HealthMonitor::Count() {
+  const double soon = kFastResignHeartbeats * settings_->report_s;
+  Census census;
+  for (const auto& [name, machine] : machines_->all()) {
+    if (BlocksRecovery(*machine)) ++census.holding;
+    if (!machine->ever_reported || !machine->identity_confirmed) continue;
+    MarkUnreachable(machine.get());
+    // One that is neither heard nor listed is a record without a machine.
+    // Guards against the lead going round because of such.
+    if (!machine->token_acknowledged && !machine->listed &&
+        autoscaler_->list_known())
+      continue;
+    ++census.expected;
+    const double quiet_s = context_->now - machine->last_contact_at;
+    if (machine->unreachable || quiet_s > Silence()) ++census.silent;
+    if (quiet_s > soon) ++census.quiet;
+  }
+  return census;
+}
+
+// Guards against a leader that is cut off from the workers alone: their leases
+// would run out while another controller could answer them. Many that fall
+// silent together tell it sooner.
+bool HealthMonitor::MostAreSilent(const Census& census) const {
+  if (context_->now - term_started_at_ <= Silence()) return false;
+  const int heard = census.expected - census.silent;
+  const int heard_lately = census.expected - census.quiet;
+  return (census.expected >= kResignMinMachines &&
+          heard < census.expected * kResignReachableShare) ||
+         (census.expected >= kFastResignMinMachines &&
+          heard_lately < census.expected * kFastResignReachableShare);
+}
+
+bool HealthMonitor::BlocksRecovery(const Machine& machine) const {
+  const double unshown = kFailoverHeartbeats * settings_->report_s +
+                         kPushTimeoutS + kPushIntervalS / 2;
+  return machine.from_earlier_term && machine.ever_reported &&
+         !machine.terminating && machine.unanswered_pushes > 0 &&
+         machine.sequence == 0 && context_->now - term_started_at_ > unshown;
+}
+
+void HealthMonitor::Watch() {
+  const Census census = Count();
+  // While the state service is out nobody else could lead.
+  if (election_->MayDispatch() && MostAreSilent(census)) {
+    election_->Resign("most machines are silent");
+    if (!election_->leading()) return;
+  }
+  // After a takeover every inherited job waits for the last machine. A
+  // few that neither report nor answer are most likely gone: returned at once,
+  // as the proof, they cost the work on them if they are not.
+  const bool few_blocking =
+      census.holding <= std::max(1.0, census.expected * kBlockingMachineShare);
+  const bool few_silent =
+      census.silent <= std::max(1.0, census.expected * kEarlyReleaseMaxShare);
+  for (auto& [name, machine] : machines_->all())
+    if (machine->ever_reported)
+      Inspect(machine.get(), few_silent, few_blocking);
+}
+
+void HealthMonitor::Inspect(Machine* machine, bool few_silent,
+                            bool few_blocking) {
+  // Guards against a machine that answers direct commands but reaches no
+  // controller: work chosen for it would wait there for a report.
+  const double quiet_s = context_->now - machine->last_heartbeat_at;
+  // Most show our token in their first two reports after a takeover.
+  const bool stuck = machine->from_earlier_term &&
+                     context_->now - term_started_at_ >
+                         kFailoverHeartbeats * settings_->report_s;
+  if ((stuck || quiet_s > Silence()) && !machine->address.empty() &&
+      !machine->push_in_flight && !machine->terminating &&
+      context_->now >= machine->next_push)
+    PushToken(machine);
+  // Whether or not it reports or is being returned: no earlier leader can have
+  // kept its tasks for so long. Guards against one that never shows our token
+  // and would hold up every inherited job and count against every limit
+  // for ever.
+  if (machine->from_earlier_term && context_->now > EarlierTermTasksUntil()) {
+    context_->Info(machine->name +
+                   " has not shown our token: its tasks are gone");
+    handlers_.forget_machine_contents(machine);
+  }
+  if (few_blocking && BlocksRecovery(*machine)) {
+    autoscaler_->Return(machine, "it holds up what was taken over");
+    return;
+  }
+  // It has spoken, has been answered, and still has not shown our token:
+  // nothing reaches it, or its report was a late copy.
+  const bool unheard =
+      !machine->token_acknowledged &&
+      context_->now - machine->last_delivery_proof_at > UnreachableThreshold();
+  if (quiet_s > Silence() || machine->unreachable || unheard)
+    GiveUp(machine, few_silent, unheard);
+}
+
+void HealthMonitor::GiveUp(Machine* machine, bool few_silent, bool unheard) {
+  handlers_.remove_planned_attempts(machine);
+  const double lost_at = machine->from_earlier_term
+                             ? EarlierTermTasksUntil()
+                             : machine->last_answered_at + Lease();
+  if (context_->now > lost_at && !machine->attempts.empty()) {
+    context_->Info(machine->name +
+                   " has been out of reach for its lease: its tasks are gone");
+    handlers_.forget_machine_contents(machine);
+  }
+  const double long_lost_at =
+      std::min(machine->last_delivery_proof_at, machine->last_heartbeat_at) +
+      Lease() + kUnreachableReleaseDelayS + 2 * settings_->lease_s;
+  if ((few_silent || !machine->identity_confirmed) &&
+      (machine->unreachable || unheard))
+    autoscaler_->Return(machine, "it does not hear us");
+  else if (few_silent &&
+           context_->now - machine->last_heartbeat_at > UnreachableThreshold())
+    autoscaler_->Return(machine, "it is silent");
+  else if (context_->now > lost_at && context_->now > long_lost_at)
+    autoscaler_->Return(machine, "it has been out of reach for long");
+}
+
+void HealthMonitor::PushToken(Machine* machine) {
+  machine->push_in_flight = true;
+  machine->next_push = context_->now + kPushIntervalS;
+  PushedCommands command;
+  command.machine = machine->name;
+  command.address = machine->address;
+  command.fencing_token = election_->term();
+  command.incarnation = machine->incarnation;
+  context_->PushCommands(
+      std::move(command), [this, name = machine->name,
+                           generation = generation_](const PushResult& result) {
+        if (generation != generation_) return;
+        Machine* shown = machines_->Find(name);
+        if (!shown) return;
+        shown->push_in_flight = false;
+        if (!result.answered || result.heartbeat.machine != name) {
+          ++shown->unanswered_pushes;
+          return;
+        }
+        shown->unanswered_pushes = 0;
+        shown->last_delivery_proof_at = context_->now;
+        if (std::make_pair(result.heartbeat.incarnation,
+                           result.heartbeat.sequence) >
+            std::make_pair(shown->incarnation, shown->sequence))
+          handlers_.on_heartbeat(shown, result.heartbeat);
+      });
+}
+
+}  // namespace sorrelwood
--- a/src/core/workers/machine_monitor.h
+++ b/src/core/workers/health_monitor.h
@@ -7,32 +7,32 @@
 #include <functional>
 
 #include "base/constants.h"
-#include "core/autoscaling/fleet.h"
-#include "core/coordination/leadership.h"
+#include "core/autoscaling/autoscaler.h"
+#include "core/coordination/leader_election.h"
 #include "core/engine/context.h"
 #include "core/machines/machine_table.h"
 
 namespace sorrelwood {
 
-class MachineMonitor {
+class HealthMonitor {
  public:
   // What becomes of a machine, carried out by the owner.
   struct Handlers {
     // A report came in answer to a direct command.
-    std::function<void(Machine*, const WorkerReport&)> on_report;
+    std::function<void(Machine*, const Heartbeat&)> on_heartbeat;
     // What was chosen for the machine and not sent goes elsewhere.
-    std::function<void(Machine*)> drop_unsent;
+    std::function<void(Machine*)> remove_planned_attempts;
     // Nothing that was on the machine can be there any more.
-    std::function<void(Machine*)> drop_everything;
+    std::function<void(Machine*)> forget_machine_contents;
   };
 
-  MachineMonitor(Context* context, MachineTable* machines,
-                 Leadership* leadership, Fleet* fleet,
-                 const ClusterSettings* settings, Handlers handlers)
+  HealthMonitor(Context* context, MachineTable* machines,
+                LeaderElection* election, Autoscaler* fleet,
+                const ClusterSettings* settings, Handlers handlers)
       : context_(context),
         machines_(machines),
-        leadership_(leadership),
-        fleet_(fleet),
+        election_(election),
+        autoscaler_(fleet),
         settings_(settings),
         handlers_(std::move(handlers)) {}
 
@@ -43,9 +43,9 @@
   // The process stood still for so long (s): what the machines said meanwhile
   // was not heard. Guards against taking the gap for their silence. Their
   // leases ran on, so when they were last answered stays.
-  void Stalled(double gap_s);
+  void OnProcessPause(double gap_s);
   // A machine quiet for so long has been shown the token directly, in vain (s).
-  double LongSilence() const;
+  double UnreachableThreshold() const;
 
  private:
   struct Census {
@@ -55,29 +55,29 @@
     int holding = 0;   // hold up what was taken over
   };
 
-  double Silence() const { return kSilentReports * settings_->report_s; }
+  double Silence() const { return kSilentHeartbeats * settings_->report_s; }
   double Lease() const { return settings_->lease_s * (1 + kClockDrift) + 1; }
   // Until then an earlier leader's answers may have kept a machine's tasks.
-  double InheritedUntil() const;
+  double EarlierTermTasksUntil() const;
   Census Count();
   void MarkUnreachable(Machine* machine) const;
   bool MostAreSilent(const Census& census) const;
   // It was taken over, neither reports nor answers, and all that was taken over
   // waits for it.
-  bool HoldsUp(const Machine& machine) const;
-  void Inspect(Machine* machine, bool few_silent, bool few_hold_up);
+  bool BlocksRecovery(const Machine& machine) const;
+  void Inspect(Machine* machine, bool few_silent, bool few_blocking);
   void GiveUp(Machine* machine, bool few_silent, bool unheard);
   // Shows a machine the token, whoever it reports to, and reads what it holds.
-  void ShowToken(Machine* machine);
+  void PushToken(Machine* machine);
 
   Context* context_;
   MachineTable* machines_;
-  Leadership* leadership_;
-  Fleet* fleet_;
+  LeaderElection* election_;
+  Autoscaler* autoscaler_;
   const ClusterSettings* settings_;
   Handlers handlers_;
   uint64_t generation_ = 0;
-  double elected_at_ = 0;
+  double term_started_at_ = 0;
 };
 
 }  // namespace sorrelwood
--- a/src/core/workers/unaccounted_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -1,4 +1,4 @@
-#include "core/workers/unaccounted_machines.h"
+#include "core/workers/unreconciled_machines.h"
 
 #include <memory>
 
@@ -6,10 +6,10 @@
 
 namespace sorrelwood {
 
-void UnaccountedMachines::Remove(const std::string& name) {
+void UnreconciledMachines::Remove(const std::string& name) {
   const auto it = shares_.find(name);
   if (it == shares_.end()) return;
-  inherited_ -= it->second.inherited ? 1 : 0;
+  inherited_ -= it->second.from_earlier_term ? 1 : 0;
   cpus_ -= it->second.cpus;
   gpus_ -= it->second.gpus;
   shares_.erase(it);
@@ -17,20 +17,21 @@
   if (shares_.empty()) cpus_ = gpus_ = 0;
 }
 
-void UnaccountedMachines::Update(const Machine& machine) {
+void UnreconciledMachines::Update(const Machine& machine) {
   Remove(machine.name);
-  if (!machine.inherited && !with_unknown_tasks_.count(machine.name)) return;
+  if (!machine.from_earlier_term && !with_unknown_tasks_.count(machine.name))
+    return;
   Share share;
-  share.inherited = machine.inherited;
+  share.from_earlier_term = machine.from_earlier_term;
   share.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
   share.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
-  inherited_ += share.inherited ? 1 : 0;
+  inherited_ += share.from_earlier_term ? 1 : 0;
   cpus_ += share.cpus;
   gpus_ += share.gpus;
   shares_[machine.name] = share;
 }
 
-void UnaccountedMachines::Recount(
+void UnreconciledMachines::Recount(
     const std::map<std::string, std::unique_ptr<Machine>>& machines) {
   shares_.clear();
   inherited_ = 0;
@@ -38,19 +39,19 @@
   for (const auto& [name, machine] : machines) Update(*machine);
 }
 
-void UnaccountedMachines::Clear() {
+void UnreconciledMachines::Clear() {
   shares_.clear();
   with_unknown_tasks_.clear();
   inherited_ = 0;
   cpus_ = gpus_ = 0;
 }
 
-void UnaccountedMachines::AddUnknownTask(const Machine& machine) {
+void UnreconciledMachines::AddUnknownTask(const Machine& machine) {
   with_unknown_tasks_.insert(machine.name);
   Update(machine);
 }
 
-void UnaccountedMachines::ForgetUnknownTasks(const Machine& machine) {
+void UnreconciledMachines::ForgetUnknownTasks(const Machine& machine) {
   if (with_unknown_tasks_.erase(machine.name) > 0) Update(machine);
 }
 
--- a/src/core/workers/unaccounted_machines.h
+++ b/src/core/workers/unreconciled_machines.h
@@ -1,6 +1,7 @@
-// Machines on which tasks may run that this leader does not know of: inherited
-// machines that have not shown its token yet, and machines that report tasks of
-// no known job. What they may hold counts against every team's limit.
+// Machines on which tasks may run that this leader does not know of:
+// inherited machines that have not shown its token yet, and machines
+// that report tasks of no known job. What they may hold counts against every
+// team's limit.
 #pragma once
 
 #include <map>
@@ -15,7 +16,7 @@
 // Keeps the totals as machines change, since a takeover of thousands of
 // machines hears each of them for the first time: a look at all machines for
 // each such report would cost the square of the fleet.
-class UnaccountedMachines {
+class UnreconciledMachines {
  public:
   // Takes the machine in or out, as it is now.
   void Update(const Machine& machine);
@@ -29,15 +30,15 @@
   void ForgetUnknownTasks(const Machine& machine);
 
   // Machines whose tasks an earlier leader may have placed.
-  int inherited() const { return inherited_; }
-  // What all unaccounted machines could hold together.
+  int from_earlier_term() const { return inherited_; }
+  // What all unreconciled machines could hold together.
   double cpus() const { return cpus_; }
   double gpus() const { return gpus_; }
 
  private:
   // What one machine adds to the totals.
   struct Share {
-    bool inherited = false;
+    bool from_earlier_term = false;
     double cpus = 0, gpus = 0;
   };
   void Remove(const std::string& name);
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -500,8 +500,8 @@
   }
 
   // The worker that has been quiet for longest makes room, if it has missed
-  // reports: guards against connections to a zone that was cut off shutting out
-  // its workers when they come back.
+  // reports: guards against connections to a zone that was cut off
+  // shutting out its workers when they come back.
   void CloseStaleWorker() {
     auto& workers = idle_[Index(PeerKind::kWorker)];
     if (workers.empty()) return;
--- a/src/peer/mesh.cc
+++ b/src/peer/mesh.cc
@@ -25,7 +25,7 @@
 // A note with counts of a few thousand jobs stays far below this.
 constexpr uint32_t kMaxNoteBytes = 1 << 20;
 constexpr int kSendTimeoutMs = 1500;
-// A sibling that says nothing for this long has gone (it sends every second).
+// A peer that says nothing for this long has gone (it sends every second).
 constexpr int kReceiveTimeoutMs = 15000;
 
 bool SetAddress(const std::string& text, sockaddr_in* address) {
@@ -98,7 +98,7 @@
 
 }  // namespace
 
-std::string EncodeNote(const MeshNote& note) {
+std::string EncodePeerStatus(const PeerStatus& note) {
   capnp::MallocMessageBuilder message;
   auto root = message.initRoot<mesh::Note>();
   root.setNode(note.node);
@@ -119,7 +119,7 @@
                      bytes.size());
 }
 
-bool DecodeNote(const std::string& bytes, MeshNote* note) {
+bool DecodePeerStatus(const std::string& bytes, PeerStatus* note) {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return false;
   try {
     std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));
@@ -141,7 +141,7 @@
   }
 }
 
-bool MeshListener::Bind() {
+bool PeerListener::Bind() {
   sockaddr_in address;
   if (!SetAddress(address_, &address)) return false;
   socket_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -157,7 +157,7 @@
   return listen(socket_, kListenBacklog) == 0;
 }
 
-void MeshListener::Run() {
+void PeerListener::Run() {
   for (;;) {
     const int socket = accept4(socket_, nullptr, nullptr, SOCK_CLOEXEC);
     if (socket < 0) {
@@ -165,12 +165,12 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(100));
       continue;
     }
-    // Without a thread for it the sibling is told so, and tries again.
+    // Without a thread for it the peer is told so, and tries again.
     if (!StartThread("mesh", [this, socket] { Serve(socket); })) close(socket);
   }
 }
 
-void MeshListener::Serve(int socket) {
+void PeerListener::Serve(int socket) {
   for (;;) {
     uint32_t size = 0;
     if (!ReadAll(socket, reinterpret_cast<char*>(&size), sizeof(size))) break;
@@ -178,21 +178,21 @@
     if (size == 0 || size > kMaxNoteBytes) break;
     std::string bytes(size, '\0');
     if (!ReadAll(socket, bytes.data(), size)) break;
-    MeshNote note;
-    if (!DecodeNote(bytes, &note)) break;
+    PeerStatus note;
+    if (!DecodePeerStatus(bytes, &note)) break;
     handler_(std::move(note));
   }
   close(socket);
 }
 
-void MeshSender::Post(const MeshNote& note) {
-  std::string bytes = EncodeNote(note);
+void PeerSender::Post(const PeerStatus& note) {
+  std::string bytes = EncodePeerStatus(note);
   std::lock_guard lock(mutex_);
   waiting_ = std::move(bytes);
   ready_.notify_one();
 }
 
-bool MeshSender::Send(const std::string& bytes) {
+bool PeerSender::Send(const std::string& bytes) {
   if (socket_ < 0) socket_ = Connect(address_);
   if (socket_ < 0) return false;
   const uint32_t size = htonl(static_cast<uint32_t>(bytes.size()));
@@ -204,7 +204,7 @@
   return false;
 }
 
-void MeshSender::Run() {
+void PeerSender::Run() {
   for (;;) {
     std::string bytes;
     {
--- a/src/peer/mesh.h
+++ b/src/peer/mesh.h
@@ -14,15 +14,15 @@
 
 namespace sorrelwood {
 
-std::string EncodeNote(const MeshNote& note);
+std::string EncodePeerStatus(const PeerStatus& note);
 // False when the bytes are no note.
-bool DecodeNote(const std::string& bytes, MeshNote* note);
+bool DecodePeerStatus(const std::string& bytes, PeerStatus* note);
 
 // Accepts connections of the others and hands on their notes.
-class MeshListener {
+class PeerListener {
  public:
-  using Handler = std::function<void(MeshNote)>;
-  MeshListener(std::string address, Handler handler)
+  using Handler = std::function<void(PeerStatus)>;
+  PeerListener(std::string address, Handler handler)
       : address_(std::move(address)), handler_(std::move(handler)) {}
   bool Bind();
   int port() const { return port_; }
@@ -37,11 +37,11 @@
   int port_ = 0;
 };
 
-// Sends notes to one sibling; the latest replaces one that still waits.
-class MeshSender {
+// Sends notes to one peer; the latest replaces one that still waits.
+class PeerSender {
  public:
-  explicit MeshSender(std::string address) : address_(std::move(address)) {}
-  void Post(const MeshNote& note);
+  explicit PeerSender(std::string address) : address_(std::move(address)) {}
+  void Post(const PeerStatus& note);
   void Run();  // for the life of the process
 
  private:
--- a/src/protocol/json.cc
+++ b/src/protocol/json.cc
@@ -322,23 +322,24 @@
 // --- Workers
 // -------------------------------------------------------------------
 
-bool ParseReport(const std::string& body, WorkerReport* report,
-                 std::string* error) {
+bool ParseHeartbeat(const std::string& body, Heartbeat* heartbeat,
+                    std::string* error) {
   const json object = Read(body);
   if (!object.is_object()) {
     *error = "the body is not a JSON object";
     return false;
   }
   Reader r(object);
-  report->machine = r.Text("perch");
-  report->address = r.Text("endpoint", false);
-  report->type = r.Text("build");
-  report->zone = r.Text("room");
-  report->spot = r.Flag("loaners", false);
-  report->session = r.Count("shift");
-  report->sequence = r.Count("tick");
-  report->token = r.Count("baton", false);
-  if (r.Find("warning_s")) report->notice_s = r.Number("warning_s", -1e9);
+  heartbeat->machine = r.Text("perch");
+  heartbeat->address = r.Text("endpoint", false);
+  heartbeat->type = r.Text("build");
+  heartbeat->zone = r.Text("room");
+  heartbeat->spot = r.Flag("loaners", false);
+  heartbeat->incarnation = r.Count("shift");
+  heartbeat->sequence = r.Count("tick");
+  heartbeat->fencing_token = r.Count("baton", false);
+  if (r.Find("warning_s"))
+    heartbeat->preemption_notice_s = r.Number("warning_s", -1e9);
   const json* tasks = r.Find("parts");
   if (tasks && !tasks->is_array()) r.Bad<int>("parts", "must be a list");
   if (r.ok() && tasks) {
@@ -348,7 +349,7 @@
         break;
       }
       Reader t(item);
-      TaskReport task;
+      TaskStatus task;
       if (!ParseTaskName(t.Text("part"), &task.job, &task.task)) {
         r.Bad<int>("part", "is not a task's name");
         break;
@@ -362,26 +363,26 @@
         *error = t.error();
         return false;
       }
-      report->tasks.push_back(std::move(task));
+      heartbeat->tasks.push_back(std::move(task));
     }
   }
   *error = r.error();
   return r.ok();
 }
 
-std::string EncodeWorkerAnswer(const AnswerWorker& answer) {
+std::string EncodeHeartbeatResponse(const HeartbeatResponse& answer) {
   if (answer.status == 200)
-    return Write(
-        {{"baton", answer.token}, {"orders", WriteCommands(answer.commands)}});
+    return Write({{"baton", answer.fencing_token},
+                  {"orders", WriteCommands(answer.commands)}});
   if (answer.status == 421)
     return answer.redirect.empty() ? "{}"
                                    : Write({{"steward", answer.redirect}});
   return EncodeError("not able to answer workers now");
 }
 
-std::string EncodeDirectCommand(const DirectCommand& command) {
-  return Write({{"baton", command.token},
-                {"shift", command.session},
+std::string EncodePushedCommands(const PushedCommands& command) {
+  return Write({{"baton", command.fencing_token},
+                {"shift", command.incarnation},
                 {"orders", WriteCommands(command.commands)}});
 }
 
@@ -465,22 +466,22 @@
 // ---------------------------------------------------------------
 
 std::string EncodeTransaction(const StateTransaction& transaction) {
-  json guards = json::array();
-  for (const Guard& guard : transaction.guards)
-    guards.push_back({{"k", guard.key}, {"stamp", guard.version}});
-  json out = {{"guards", std::move(guards)}};
-  if (!transaction.ops.empty()) {
-    json ops = json::array();
-    for (const StateOp& op : transaction.ops) {
+  json preconditions = json::array();
+  for (const Precondition& guard : transaction.preconditions)
+    preconditions.push_back({{"k", guard.key}, {"stamp", guard.version}});
+  json out = {{"guards", std::move(preconditions)}};
+  if (!transaction.mutations.empty()) {
+    json mutations = json::array();
+    for (const Mutation& op : transaction.mutations) {
       if (op.remove) {
-        ops.push_back({{"remove", op.key}});
+        mutations.push_back({{"remove", op.key}});
         continue;
       }
       json item = {{"set", op.key}, {"data", Read(op.value)}};
       if (op.lease != 0) item["hold"] = op.lease;
-      ops.push_back(std::move(item));
+      mutations.push_back(std::move(item));
     }
-    out["then"] = std::move(ops);
+    out["then"] = std::move(mutations);
   }
   return Write(out);
 }
@@ -649,12 +650,12 @@
   return r.ok();
 }
 
-std::string EncodeProgress(const ProgressRecord& record) {
+std::string EncodeCompletions(const CompletionRecord& record) {
   if (!record.first_task) return Write(record.bits_hex);
   return Write({{"from", *record.first_task}, {"bits", record.bits_hex}});
 }
 
-bool ParseProgress(const std::string& text, ProgressRecord* record) {
+bool ParseCompletions(const std::string& text, CompletionRecord* record) {
   const json value = Read(text);
   record->first_task.reset();
   if (value.is_string()) {
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -12,7 +12,7 @@
 namespace sorrelwood::wire {
 
 // Where workers send their reports.
-inline constexpr char kReportPath[] = "/agent/beat";
+inline constexpr char kHeartbeatPath[] = "/agent/beat";
 
 // --- Users
 // ---------------------------------------------------------------------
@@ -26,10 +26,10 @@
 
 // --- Workers
 // -------------------------------------------------------------------
-bool ParseReport(const std::string& body, WorkerReport* report,
-                 std::string* error);
-std::string EncodeWorkerAnswer(const AnswerWorker& answer);
-std::string EncodeDirectCommand(const DirectCommand& command);
+bool ParseHeartbeat(const std::string& body, Heartbeat* heartbeat,
+                    std::string* error);
+std::string EncodeHeartbeatResponse(const HeartbeatResponse& answer);
+std::string EncodePushedCommands(const PushedCommands& command);
 
 // --- Cloud
 // ---------------------------------------------------------------------
@@ -66,7 +66,7 @@
 bool ParseRentRecord(const std::string& text, RentRecord* rent);
 std::string EncodeMachineRecord(const MachineRecord& machine);
 bool ParseMachineRecord(const std::string& text, MachineRecord* machine);
-std::string EncodeProgress(const ProgressRecord& record);
-bool ParseProgress(const std::string& text, ProgressRecord* record);
+std::string EncodeCompletions(const CompletionRecord& record);
+bool ParseCompletions(const std::string& text, CompletionRecord* record);
 
 }  // namespace sorrelwood::wire
--- a/src/server/app.cc
+++ b/src/server/app.cc
@@ -67,7 +67,7 @@
   limits.workers = MostWorkers(settings_);
   limits.users = static_cast<size_t>(total * kUserConnections);
   limits.worker_idle_s = settings_.lease_s;
-  limits.worker_stale_s = kSilentReports * settings_.report_s;
+  limits.worker_stale_s = kSilentHeartbeats * settings_.report_s;
   limits.threads = MostThreads(settings_);
   spdlog::info(
       "up to {} connections: {} workers, {} users; {} requests at once",
@@ -76,15 +76,15 @@
   server_ = std::make_unique<HttpServer>(
       endpoint, limits,
       [](const std::string& path) {
-        return path == wire::kReportPath             ? PeerKind::kWorker
+        return path == wire::kHeartbeatPath          ? PeerKind::kWorker
                : path == "/up" || path == "/metrics" ? PeerKind::kOther
                                                      : PeerKind::kUser;
       },
       [this](const HttpRequest& request) { return Handle(request); });
-  listener_ = std::make_unique<MeshListener>(
-      settings_.mesh_listen, [this](MeshNote note) {
+  listener_ = std::make_unique<PeerListener>(
+      settings_.peer_listen, [this](PeerStatus note) {
         Post([note = std::move(note)](Controller& c, Controller::Time t) {
-          return c.Note(t, note);
+          return c.OnPeerStatus(t, note);
         });
       });
   if (!server_->Bind()) {
@@ -92,11 +92,11 @@
     return false;
   }
   if (!listener_->Bind()) {
-    spdlog::error("can't listen on {}", settings_.mesh_listen);
+    spdlog::error("can't listen on {}", settings_.peer_listen);
     return false;
   }
-  for (const Sibling& sibling : settings_.siblings)
-    senders_.push_back(std::make_unique<MeshSender>(sibling.address));
+  for (const Peer& peer : settings_.peers)
+    senders_.push_back(std::make_unique<PeerSender>(peer.address));
   StartLanes();
   controller_.set_debug(spdlog::should_log(spdlog::level::debug));
   StartThread("core", [this] { CoreLoop(); });
@@ -144,7 +144,7 @@
     }
     if (time.steady >= next_figures) {
       next_figures = time.steady + 5;
-      metrics_.Publish(controller_.Measure());
+      metrics_.Publish(controller_.CollectStatistics());
     }
   }
 }
@@ -156,11 +156,13 @@
           using T = std::decay_t<decltype(item)>;
           if constexpr (std::is_same_v<T, StateTransaction> ||
                         std::is_same_v<T, StateGet>) {
-            auto& lane = item.lane == StateLane::kRenewal  ? renewal_lane_
-                         : item.lane == StateLane::kLeader ? leader_lane_
-                         : item.lane == StateLane::kPoll   ? poll_lane_
-                                                           : user_lane_;
-            lane.Push(std::move(item));
+            auto& connection =
+                item.connection == StateConnection::kLeaseRenewal
+                    ? renewal_lane_
+                : item.connection == StateConnection::kLeader ? leader_lane_
+                : item.connection == StateConnection::kPoll   ? poll_lane_
+                                                              : user_lane_;
+            connection.Push(std::move(item));
           } else if constexpr (std::is_same_v<T, StateList>) {
             list_lane_.Push(std::move(item));
           } else if constexpr (std::is_same_v<T, StateWatch>) {
@@ -174,15 +176,15 @@
           } else if constexpr (std::is_same_v<T, CloudCatalog> ||
                                std::is_same_v<T, CloudList>) {
             cloud_list_lane_.Push(std::move(item));
-          } else if constexpr (std::is_same_v<T, DirectCommand>) {
+          } else if constexpr (std::is_same_v<T, PushedCommands>) {
             direct_lane_.Push(std::move(item));
-          } else if constexpr (std::is_same_v<T, AnswerUser>) {
+          } else if constexpr (std::is_same_v<T, ClientResponse>) {
             Reply(item.request,
                   {item.status, std::move(item.body), item.retry_after_s});
-          } else if constexpr (std::is_same_v<T, AnswerWorker>) {
+          } else if constexpr (std::is_same_v<T, HeartbeatResponse>) {
             Reply(item.request,
-                  {item.status, wire::EncodeWorkerAnswer(item), 0});
-          } else if constexpr (std::is_same_v<T, MeshSend>) {
+                  {item.status, wire::EncodeHeartbeatResponse(item), 0});
+          } else if constexpr (std::is_same_v<T, SendPeerStatus>) {
             for (auto& sender : senders_) sender->Post(item.note);
           } else if constexpr (std::is_same_v<T, LogLine>) {
             Log(item);
@@ -257,17 +259,17 @@
     StartThread("direct", [this, deliver] {
       for (;;) {
         const Action action = direct_lane_.Pop();
-        const auto* command = std::get_if<DirectCommand>(&action);
+        const auto* command = std::get_if<PushedCommands>(&action);
         if (!command) continue;
-        HttpClient client(command->address, kDirectTimeoutS);
+        HttpClient client(command->address, kPushTimeoutS);
         const HttpAnswer answer =
-            client.Post("/commands", wire::EncodeDirectCommand(*command));
-        DirectResult result;
+            client.Post("/commands", wire::EncodePushedCommands(*command));
+        PushResult result;
         result.id = command->id;
         std::string error;
         result.answered =
             (answer.status == 200 || answer.status == 409) &&
-            wire::ParseReport(answer.body, &result.report, &error);
+            wire::ParseHeartbeat(answer.body, &result.heartbeat, &error);
         result.accepted = answer.status == 200;
         deliver(std::move(result));
       }
@@ -325,24 +327,24 @@
   if (request.path == "/metrics")
     return {200, metrics_.Text(), "text/plain; version=0.0.4"};
   const double began = SteadyNow();
-  const bool worker = request.path == wire::kReportPath;
-  HttpReply reply = worker ? HandleReport(request) : HandleUser(request);
+  const bool worker = request.path == wire::kHeartbeatPath;
+  HttpReply reply = worker ? HandleHeartbeat(request) : HandleUser(request);
   metrics_.CountRequest(worker ? "worker" : "user", reply.status,
                         SteadyNow() - began);
   return reply;
 }
 
-HttpReply App::HandleReport(const HttpRequest& request) {
+HttpReply App::HandleHeartbeat(const HttpRequest& request) {
   if (request.method != "POST") return Error(405, "use POST");
-  WorkerReport report;
+  Heartbeat heartbeat;
   std::string error;
-  if (!wire::ParseReport(request.body, &report, &error))
+  if (!wire::ParseHeartbeat(request.body, &heartbeat, &error))
     return Error(400, error);
   Answer answer = Ask(
       [&](uint64_t id) -> Input {
-        return [id, report = std::move(report)](Controller& c,
-                                                Controller::Time t) {
-          return c.Report(t, id, report);
+        return [id, heartbeat = std::move(heartbeat)](Controller& c,
+                                                      Controller::Time t) {
+          return c.OnHeartbeat(t, id, heartbeat);
         };
       },
       /*from_user=*/false);
--- a/src/server/app.h
+++ b/src/server/app.h
@@ -40,7 +40,7 @@
   void StartLanes();
   HttpReply Handle(const HttpRequest& request);
   HttpReply HandleUser(const HttpRequest& request);
-  HttpReply HandleReport(const HttpRequest& request);
+  HttpReply HandleHeartbeat(const HttpRequest& request);
   // Hands an input to the core and waits for the answer to it.
   Answer Ask(const std::function<Input(uint64_t request)>& make,
              bool from_user);
@@ -54,13 +54,14 @@
   std::atomic<bool> healthy_{true};  // so that /up never waits on the core
   Metrics metrics_;
   std::unique_ptr<HttpServer> server_;
-  std::unique_ptr<MeshListener> listener_;
-  std::vector<std::unique_ptr<MeshSender>> senders_;
+  std::unique_ptr<PeerListener> listener_;
+  std::vector<std::unique_ptr<PeerSender>> senders_;
 
   std::mutex input_mutex_;
   std::condition_variable input_ready_;
-  // What users ask comes after what machines, siblings and outside services
-  // say: guards against a storm of questions holding up renewals and reports.
+  // What users ask comes after what machines, peers and outside services
+  // say: guards against a storm of questions holding up renewals and
+  // reports.
   std::deque<Input> inputs_, user_inputs_;
   void Post(Input input, bool from_user = false);
   bool Crowded();
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -31,18 +31,18 @@
   return gauges_.Add({{"of", name}});
 }
 
-void Metrics::Publish(const Controller::Figures& f) {
+void Metrics::Publish(const Controller::Statistics& f) {
   Value("leading").Set(f.leading);
-  Value("may_launch").Set(f.may_launch);
-  Value("may_answer_workers").Set(f.may_answer);
+  Value("may_launch").Set(f.may_dispatch);
+  Value("may_answer_workers").Set(f.may_renew_worker_leases);
   Value("term").Set(static_cast<double>(f.term));
-  const Scheduler::Figures& s = f.scheduler;
+  const Scheduler::Statistics& s = f.scheduler;
   Value("jobs").Set(static_cast<double>(s.jobs));
   Value("tasks_pending").Set(static_cast<double>(s.pending));
   Value("tasks_placed").Set(static_cast<double>(s.placed));
   Value("machines").Set(static_cast<double>(s.machines));
   Value("machines_base").Set(static_cast<double>(s.base_machines));
-  Value("machines_unaccounted").Set(s.unaccounted);
+  Value("machines_unaccounted").Set(s.unreconciled);
   Value("base_target_cpus").Set(s.base_target_cpus);
   Value("predictor_samples").Set(static_cast<double>(s.predictor_samples));
   Value("predictor_error_seconds").Set(s.predictor_error_s);
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -19,7 +19,7 @@
   Metrics();
 
   void CountRequest(const std::string& kind, int status, double seconds);
-  void Publish(const Controller::Figures& figures);
+  void Publish(const Controller::Statistics& statistics);
   std::string Text() const;
 
  private:
--- a/src/state/state_client.cc
+++ b/src/state/state_client.cc
@@ -23,9 +23,9 @@
 // A lease that has ended gets 400 as well; it is no matter of size.
 StateRefusal RefusalOf(const StateTransaction& transaction, int status) {
   const bool leased =
-      std::any_of(transaction.ops.begin(), transaction.ops.end(),
-                  [](const StateOp& op) { return op.lease != 0; });
-  if (transaction.ops.empty() || leased) return StateRefusal::kNone;
+      std::any_of(transaction.mutations.begin(), transaction.mutations.end(),
+                  [](const Mutation& op) { return op.lease != 0; });
+  if (transaction.mutations.empty() || leased) return StateRefusal::kNone;
   if (status == 400) return StateRefusal::kTooLarge;
   if (status == 429) return StateRefusal::kTooManyChanges;
   return StateRefusal::kNone;
--- a/tests/action_digest.cc
+++ b/tests/action_digest.cc
@@ -23,12 +23,12 @@
 
 void ActionDigest::Take(const StateTransaction& action) {
   Count(action.id);
-  Count(static_cast<int>(action.lane));
+  Count(static_cast<int>(action.connection));
   Text(wire::EncodeTransaction(action));
 }
 void ActionDigest::Take(const StateGet& action) {
   Count(action.id);
-  Count(static_cast<int>(action.lane));
+  Count(static_cast<int>(action.connection));
   Text(action.key);
 }
 void ActionDigest::Take(const StateList& action) {
@@ -64,24 +64,24 @@
   Number(action.not_after);
 }
 void ActionDigest::Take(const CloudList& action) { Count(action.id); }
-void ActionDigest::Take(const DirectCommand& action) {
+void ActionDigest::Take(const PushedCommands& action) {
   Count(action.id);
   Text(action.machine);
-  Text(wire::EncodeDirectCommand(action));
+  Text(wire::EncodePushedCommands(action));
 }
-void ActionDigest::Take(const AnswerUser& action) {
+void ActionDigest::Take(const ClientResponse& action) {
   Count(action.request);
   Count(action.status);
   Text(action.body);
   Number(action.retry_after_s);
 }
-void ActionDigest::Take(const AnswerWorker& action) {
+void ActionDigest::Take(const HeartbeatResponse& action) {
   Count(action.request);
   Count(action.status);
-  Text(wire::EncodeWorkerAnswer(action));
+  Text(wire::EncodeHeartbeatResponse(action));
 }
-void ActionDigest::Take(const MeshSend& action) {
-  Text(EncodeNote(action.note));
+void ActionDigest::Take(const SendPeerStatus& action) {
+  Text(EncodePeerStatus(action.note));
 }
 
 }  // namespace sorrelwood::test
--- a/tests/action_digest.h
+++ b/tests/action_digest.h
@@ -35,10 +35,10 @@
   void Take(const CloudRent& action);
   void Take(const CloudRelease& action);
   void Take(const CloudList& action);
-  void Take(const DirectCommand& action);
-  void Take(const AnswerUser& action);
-  void Take(const AnswerWorker& action);
-  void Take(const MeshSend& action);
+  void Take(const PushedCommands& action);
+  void Take(const ClientResponse& action);
+  void Take(const HeartbeatResponse& action);
+  void Take(const SendPeerStatus& action);
   void Take(const LogLine&) {}  // LogSummary counts them
 
   FnvHash hash_;
--- a/tests/adapter_test.cc
+++ b/tests/adapter_test.cc
@@ -237,8 +237,8 @@
     return client.Transact(transaction).refusal;
   };
   StateTransaction change, leased;
-  change.ops = {{false, "a", "1", 0}};
-  leased.ops = {{false, "a", "1", 7}};
+  change.mutations = {{false, "a", "1", 0}};
+  leased.mutations = {{false, "a", "1", 7}};
   EXPECT_EQ(refusal(400, change), StateRefusal::kTooLarge);
   EXPECT_EQ(refusal(429, change), StateRefusal::kTooManyChanges);
   EXPECT_EQ(refusal(503, change), StateRefusal::kNone);
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -25,7 +25,7 @@
     Machine* machine = machines_.Add(name);
     machine->type = &type_;
     machine->zone = zone;
-    machine->heard = true;
+    machine->token_acknowledged = true;
     return machine;
   }
   // A job whose tasks run already on the machine, `count` of them.
@@ -39,17 +39,17 @@
     record->spec.zone = zone;
     Job* job = jobs_.Add(record, 1, false, 0);
     for (uint32_t task = 0; task < count; ++task) {
-      Placed placed;
-      placed.cpus = 1;
-      placed.record = record;
+      TaskAttempt attempt;
+      attempt.cpus = 1;
+      attempt.record = record;
       jobs_.Place(job, task, machine->name, machine->zone);
-      machine->Hold({record->spec.id, task}, placed);
+      machine->AddAttempt({record->spec.id, task}, attempt);
     }
     return job;
   }
-  Imbalance Measure() {
+  Imbalance CollectStatistics() {
     bounds_.Update(0);
-    return ImbalanceMeter(&bounds_).Measure(&machines_);
+    return ImbalanceMeter(&bounds_).CollectStatistics(&machines_);
   }
 
   MachineType type_{"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"a", "b"}};
@@ -87,21 +87,21 @@
   Machine* machine = AddMachine("n-1");
   for (int i = 2; i < 20; ++i) AddMachine("n-" + std::to_string(i));
   Run(machine, 1);
-  EXPECT_EQ(Measure().share, 0);
+  EXPECT_EQ(CollectStatistics().share, 0);
 }
 
 TEST_F(BoundsTest, MachinesThatAreEmptiedDoNotCount) {
   Machine* busy = AddMachine("n-1");
-  AddMachine("n-2")->surplus = true;
+  AddMachine("n-2")->excess = true;
   Run(busy, 8);
-  EXPECT_EQ(Measure().share, 0);
+  EXPECT_EQ(CollectStatistics().share, 0);
 }
 
 TEST_F(BoundsTest, TheMeasureIsTheShareThatWouldHaveToMove) {
   Machine* busy = AddMachine("n-1");
   AddMachine("n-2");
   Run(busy, 8);
-  const Imbalance imbalance = Measure();
+  const Imbalance imbalance = CollectStatistics();
   // 3 of 8 cores lie above the bound of 5.
   EXPECT_DOUBLE_EQ(imbalance.share, 3.0 / 8);
   ASSERT_EQ(imbalance.crowded.size(), 1u);
@@ -112,7 +112,7 @@
   Machine* busy = AddMachine("n-1", "a");
   AddMachine("n-2", "b");
   Run(busy, 8, "team", /*zone=*/"a");
-  EXPECT_EQ(Measure().share, 0);
+  EXPECT_EQ(CollectStatistics().share, 0);
 }
 
 TEST_F(BoundsTest, ATeamCrowdsAMachineThatIsEvenlyUsed) {
@@ -121,7 +121,7 @@
   Machine* second = AddMachine("n-2");
   Run(first, 6, "team");
   Run(second, 6, "other");
-  const Imbalance imbalance = Measure();
+  const Imbalance imbalance = CollectStatistics();
   EXPECT_GT(imbalance.share, 0.15);
   ASSERT_FALSE(imbalance.crowded.empty());
   EXPECT_EQ(imbalance.crowded[0].excess_by_team.size(), 1u);
@@ -131,7 +131,8 @@
   Machine* machine = AddMachine("n-1");
   Run(machine, 3);
   EXPECT_DOUBLE_EQ(machine->TeamCpus("team"), 3);
-  while (!machine->tasks.empty()) machine->Drop(machine->tasks.begin());
+  while (!machine->attempts.empty())
+    machine->RemoveAttempt(machine->attempts.begin());
   EXPECT_EQ(machine->TeamCpus("team"), 0);
   EXPECT_TRUE(machine->team_cpus.empty());
 }
@@ -141,10 +142,10 @@
   JobSpec spec;
   spec.cpus = 10;
   EXPECT_TRUE(machine->Fits(spec));
-  machine->HoldPlace(8, 0, 1);
+  machine->ReserveCapacity(8, 0, 1);
   EXPECT_FALSE(machine->Fits(spec));
   EXPECT_DOUBLE_EQ(machine->cpus_free(), 8);
-  machine->FreePlace(8, 0, 1);
+  machine->ReleaseCapacity(8, 0, 1);
   EXPECT_TRUE(machine->Fits(spec));
 }
 
@@ -152,9 +153,9 @@
   Machine* machine = AddMachine("n-1");
   Run(machine, 2);
   machine->fetching.emplace_back("");
-  machine->Drop(machine->tasks.begin());
+  machine->RemoveAttempt(machine->attempts.begin());
   EXPECT_EQ(machine->fetching.size(), 1u);
-  machine->Drop(machine->tasks.begin());
+  machine->RemoveAttempt(machine->attempts.begin());
   EXPECT_TRUE(machine->fetching.empty());
 }
 
@@ -165,7 +166,7 @@
       Machine* machine =
           AddMachine("n-" + std::to_string(i), i % 2 ? "a" : "b");
       machine->spot = i % 4 == 0;
-      if (i % 8 == 1) machine->UseImage("img-1");
+      if (i % 8 == 1) machine->TouchImage("img-1");
       sets_.Add(machine);
     }
   }
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -4,7 +4,7 @@
 #include "base/constants.h"
 #include "base/interval_set.h"
 #include "config/settings.h"
-#include "core/coordination/progress_store.h"
+#include "core/coordination/completion_store.h"
 #include "core/jobs/job_table.h"
 #include "core/scheduling/wait_predictor.h"
 #include "peer/mesh.h"
@@ -34,14 +34,17 @@
   done.Add(5, 9);
   done.Add(16383, 16390);
   done.Add(39999);
-  for (uint32_t begin = 0; begin < 40000; begin += kTasksPerProgressKey) {
-    const uint32_t end = std::min(begin + kTasksPerProgressKey, 40000u);
-    DecodeBits(EncodeBits(done, begin, end), begin, 40000, &back);
+  for (uint32_t begin = 0; begin < 40000; begin += kTasksPerCompletionRecord) {
+    const uint32_t end = std::min(begin + kTasksPerCompletionRecord, 40000u);
+    DecodeCompletionBits(EncodeCompletionBits(done, begin, end), begin, 40000,
+                         &back);
   }
   EXPECT_EQ(back.ranges(), done.ranges());
   // The largest array stays under the state service's 8 KiB a value.
-  EXPECT_LE(EncodeBits(IntervalSet(0, 100000), 0, kTasksPerProgressKey).size(),
-            4096u);
+  EXPECT_LE(
+      EncodeCompletionBits(IntervalSet(0, 100000), 0, kTasksPerCompletionRecord)
+          .size(),
+      4096u);
 }
 
 std::shared_ptr<LiveJob> NewJob(const std::string& id, const std::string& team,
@@ -192,7 +195,7 @@
   std::string error;
   ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
   EXPECT_EQ(settings.node, "perch-0");
-  EXPECT_EQ(settings.siblings.size(), 1u);
+  EXPECT_EQ(settings.peers.size(), 1u);
   EXPECT_EQ(settings.state_txn_ops, 16);
   ASSERT_EQ(settings.objectives.size(), 2u);
   EXPECT_EQ(settings.objectives[0].job_class, "fast");
@@ -206,8 +209,9 @@
   EXPECT_FALSE(settings.state_next.has_value());
   const auto with = [&](const std::string& next) {
     std::string text = kSettings;
-    const std::string ops = "\"txn_ops\":16";
-    text.replace(text.find(ops), ops.size(), ops + ",\"next\":" + next);
+    const std::string mutations = "\"txn_ops\":16";
+    text.replace(text.find(mutations), mutations.size(),
+                 mutations + ",\"next\":" + next);
     settings = ClusterSettings();
     return ParseClusterSettings(text, &settings, &error);
   };
@@ -301,19 +305,19 @@
 }
 
 TEST(Mesh, NotesSurviveAndRubbishIsRefused) {
-  MeshNote note, back;
+  PeerStatus note, back;
   note.node = "perch-1";
   note.term = 7;
   note.leader = true;
   note.jobs = {{"job-1", 3, 4}, {"job-2", 0, 1}};
-  const std::string bytes = EncodeNote(note);
-  ASSERT_TRUE(DecodeNote(bytes, &back));
+  const std::string bytes = EncodePeerStatus(note);
+  ASSERT_TRUE(DecodePeerStatus(bytes, &back));
   EXPECT_EQ(back.node, "perch-1");
   EXPECT_EQ(back.jobs.size(), 2u);
   EXPECT_EQ(back.jobs[0].running, 4u);
-  EXPECT_FALSE(DecodeNote("", &back));
-  EXPECT_FALSE(DecodeNote("not a note", &back));
-  EXPECT_FALSE(DecodeNote(std::string(64, '\xff'), &back));
+  EXPECT_FALSE(DecodePeerStatus("", &back));
+  EXPECT_FALSE(DecodePeerStatus("not a note", &back));
+  EXPECT_FALSE(DecodePeerStatus(std::string(64, '\xff'), &back));
 }
 
 }  // namespace
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -9,7 +9,7 @@
 #include "base/constants.h"
 #include "core/controller/controller.h"
 #include "core/coordination/keys.h"
-#include "core/coordination/writer.h"
+#include "core/coordination/state_writer.h"
 #include "protocol/json.h"
 #include "scripted_leader.h"
 
@@ -32,8 +32,9 @@
   good.Beat(&leader);
   leader.AddJob("job-000001", 40);
   uint64_t sequence = 0;
-  leader.Report("n-2", 1, ++sequence, 0);
-  leader.Report("n-2", 1, ++sequence, leader.token());  // reached until here
+  leader.OnHeartbeat("n-2", 1, ++sequence, 0);
+  leader.OnHeartbeat("n-2", 1, ++sequence,
+                     leader.token());  // reached until here
   leader.cloud_out = true;  // so that only its lease can end its tasks
   int starts = 0, refused = 0;
   for (int i = 0; i < 7; ++i) {
@@ -42,8 +43,8 @@
     leader.Run(5);
     good.Beat(&leader);
     sequence += 2;  // one of them went to the other node
-    const AnswerWorker answer =
-        leader.Report("n-2", 1 + sequence / 4, sequence, leader.token());
+    const HeartbeatResponse answer =
+        leader.OnHeartbeat("n-2", 1 + sequence / 4, sequence, leader.token());
     starts += Leader::Starts(answer);
     refused += answer.status == 503;
   }
@@ -65,7 +66,7 @@
   leader.records_unanswered = true;
   leader.Run(2);
   ASSERT_TRUE(leader.leading());
-  const AnswerWorker answer = leader.Report(
+  const HeartbeatResponse answer = leader.OnHeartbeat(
       "n-1", 1, 5, kOldToken,
       {{"job-000001", 0, (kOldToken << 32) | 1, TaskState::kRunning},
        {"job-000002", 0, (kOldToken << 32) | 2, TaskState::kRunning}});
@@ -82,9 +83,9 @@
   leader.Run(2);
   leader.Cancel("job-000001");
   leader.Run(2);
-  EXPECT_EQ(Stops(leader.Report("n-1", 1, 5, kOldToken,
-                                {{"job-000001", 0, (kOldToken << 32) | 1,
-                                  TaskState::kFetching}})),
+  EXPECT_EQ(Stops(leader.OnHeartbeat("n-1", 1, 5, kOldToken,
+                                     {{"job-000001", 0, (kOldToken << 32) | 1,
+                                       TaskState::kFetching}})),
             1);
 }
 
@@ -102,9 +103,9 @@
   for (int i = 0; i < 14; ++i) {
     leader.Run(2);
     good.Beat(&leader);
-    WorkerReport direct;
+    Heartbeat direct;
     direct.machine = "n-1";
-    direct.session = 1;
+    direct.incarnation = 1;
     direct.sequence = 100 + static_cast<uint64_t>(i);
     leader.direct["n-1"] = direct;
   }
@@ -143,7 +144,7 @@
   leader.AddJob("job-000001", 4);
   leader.Run(1);
   leader.watch_unanswered = true;  // while renewals are served
-  leader.Run(kLaunchLookS + 1);
+  leader.Run(kDispatchMaxCacheAgeS + 1);
   EXPECT_TRUE(leader.leading());
   EXPECT_EQ(machine.Beat(&leader), 0);
 }
@@ -207,10 +208,10 @@
 TEST(Leader, RefusesCopies) {
   Leader leader;
   leader.Run(2);
-  EXPECT_EQ(leader.Report("n-1", 1, 5, 0).status, 200);
-  EXPECT_EQ(leader.Report("n-1", 1, 5, 0).status, 503);
-  EXPECT_EQ(leader.Report("n-1", 1, 3, 0).status, 503);
-  EXPECT_EQ(leader.Report("n-1", 1, 6, leader.token()).status, 200);
+  EXPECT_EQ(leader.OnHeartbeat("n-1", 1, 5, 0).status, 200);
+  EXPECT_EQ(leader.OnHeartbeat("n-1", 1, 5, 0).status, 503);
+  EXPECT_EQ(leader.OnHeartbeat("n-1", 1, 3, 0).status, 503);
+  EXPECT_EQ(leader.OnHeartbeat("n-1", 1, 6, leader.token()).status, 200);
 }
 
 // A late copy of a report of a machine that is gone reaches a new leader.
@@ -218,9 +219,10 @@
   Leader leader;
   leader.AddJob("job-000001", 1);
   leader.Run(2);
-  const std::vector<TaskReport> tasks = {
+  const std::vector<TaskStatus> tasks = {
       {"job-000001", 0, (kOldToken << 32) | 1, TaskState::kRunning}};
-  EXPECT_TRUE(leader.Report("n-9", 3, 40, kOldToken, tasks).commands.empty());
+  EXPECT_TRUE(
+      leader.OnHeartbeat("n-9", 3, 40, kOldToken, tasks).commands.empty());
   leader.Run(1);
   EXPECT_FALSE(leader.HasKey(keys::Machine("n-9")));
   // The task is on another machine: it must neither be stopped there nor seem
@@ -229,20 +231,21 @@
   real.tasks = tasks;
   real.Beat(&leader);
   leader.Run(0.5);
-  const AnswerWorker answer =
-      leader.Report("n-1", 1, ++real.sequence, leader.token(), tasks);
+  const HeartbeatResponse answer =
+      leader.OnHeartbeat("n-1", 1, ++real.sequence, leader.token(), tasks);
   EXPECT_TRUE(answer.commands.empty());
   for (uint64_t i = 0; i < 10; ++i) {
     leader.Run(2);
     real.Beat(&leader);
-    leader.Report("n-9", 3, 41 + i, kOldToken, tasks);  // more copies
+    leader.OnHeartbeat("n-9", 3, 41 + i, kOldToken, tasks);  // more copies
   }
   EXPECT_TRUE(leader.Released("n-9"));  // it waited for a bounded time only
   EXPECT_FALSE(leader.Released("n-1"));
 }
 
-// An inherited machine goes on reporting but never shows the new token, and the
-// cloud can't take it back: what it held up starts once the reach has passed.
+// An inherited machine goes on reporting but never shows the new token,
+// and the cloud can't take it back: what it held up starts once the reach has
+// passed.
 TEST(Leader, WaitsForAnInheritedMachineOnlySoLong) {
   Leader leader;
   leader.AddMachineRecord("n-1");
@@ -253,7 +256,7 @@
   int starts = 0;
   for (int i = 0; i < 45; ++i) {
     starts += good.Beat(&leader);
-    leader.Report("n-1", 1, 2 * static_cast<uint64_t>(i) + 10, kOldToken);
+    leader.OnHeartbeat("n-1", 1, 2 * static_cast<uint64_t>(i) + 10, kOldToken);
     leader.Run(1);
     if (i < 25) {
       EXPECT_EQ(starts, 0) << "after " << i << " s";
@@ -278,7 +281,7 @@
   void Round(Fails fails) {
     for (Healthy& machine : machines_) {
       if (leader_.Released(machine.name)) continue;
-      for (TaskReport& task : machine.tasks) {
+      for (TaskStatus& task : machine.tasks) {
         if (task.state == TaskState::kExited) continue;
         task.state = TaskState::kExited;
         const bool failed = fails(machine.name, task.job);
@@ -286,7 +289,7 @@
         if (failed) ++failures_[task.job];
       }
       machine.Beat(&leader_);
-      std::erase_if(machine.tasks, [](const TaskReport& task) {
+      std::erase_if(machine.tasks, [](const TaskStatus& task) {
         return task.state == TaskState::kExited;
       });
     }
@@ -366,7 +369,7 @@
   int bad = 0;
   for (int i = 0; i < 30; ++i) {
     for (Healthy& machine : machines_)
-      for (TaskReport& task : machine.tasks)
+      for (TaskStatus& task : machine.tasks)
         if (task.job == "job-200000" && task.task == 7) {
           task.state = TaskState::kExited;
           task.reason = ExitReason::kError;
@@ -453,15 +456,15 @@
   for (double now = 0; now < 60 && starts == 0; now += 1) {
     if (now > 9 && shown == 0) {
       shown = now;
-      WorkerReport report;
-      report.machine = "n-1";
-      report.address = "n-1:1";
-      report.type = "big";
-      report.zone = "a";
-      report.session = 1;
-      report.sequence = 5;
-      report.tasks = {{"job-100000", 0, 77, TaskState::kRunning}};
-      leader.direct["n-1"] = report;
+      Heartbeat heartbeat;
+      heartbeat.machine = "n-1";
+      heartbeat.address = "n-1:1";
+      heartbeat.type = "big";
+      heartbeat.zone = "a";
+      heartbeat.incarnation = 1;
+      heartbeat.sequence = 5;
+      heartbeat.tasks = {{"job-100000", 0, 77, TaskState::kRunning}};
+      leader.direct["n-1"] = heartbeat;
       leader.Run(1.2);
       leader.direct.clear();
     }
@@ -479,16 +482,16 @@
 size_t ObeyAndCount(Leader* leader, Healthy* machine, const std::string& job) {
   const uint64_t token = machine->sequence == 0 ? 0 : leader->token();
   ++machine->sequence;
-  const AnswerWorker answer = leader->Report(
+  const HeartbeatResponse answer = leader->OnHeartbeat(
       machine->name, 1, machine->sequence, token, machine->tasks);
-  std::erase_if(machine->tasks, [](const TaskReport& task) {
+  std::erase_if(machine->tasks, [](const TaskStatus& task) {
     return task.state == TaskState::kExited;
   });
   for (const Command& command : answer.commands) {
     if (command.kind == CommandKind::kStart)
       machine->tasks.push_back(
           {command.job, command.task, command.attempt, TaskState::kRunning});
-    for (TaskReport& task : machine->tasks) {
+    for (TaskStatus& task : machine->tasks) {
       if (command.kind != CommandKind::kStop || command.attempt != task.attempt)
         continue;
       task.state = TaskState::kExited;
@@ -497,7 +500,7 @@
   }
   return static_cast<size_t>(std::count_if(
       machine->tasks.begin(), machine->tasks.end(),
-      [&](const TaskReport& task) {
+      [&](const TaskStatus& task) {
         return task.job == job && task.state == TaskState::kRunning;
       }));
 }
@@ -574,7 +577,7 @@
   machine.tasks[0].state = TaskState::kExited;
   machine.tasks[0].reason = ExitReason::kDone;
   EXPECT_EQ(ObeyFor(&leader, &machine, "job-1", 3), 2u);
-  for (const TaskReport& task : machine.tasks) EXPECT_NE(task.attempt, attempt);
+  for (const TaskStatus& task : machine.tasks) EXPECT_NE(task.attempt, attempt);
   EXPECT_FALSE(leader.HasKey(keys::Final("job-1")));
 }
 
@@ -587,7 +590,7 @@
   int starts = 0;
   for (int i = 0; i < 100; ++i) {
     starts += static_cast<int>(ObeyAndCount(&leader, &machine, "job-1"));
-    for (TaskReport& task : machine.tasks) {
+    for (TaskStatus& task : machine.tasks) {
       task.state = TaskState::kExited;
       task.reason = ExitReason::kDone;
     }
@@ -598,13 +601,13 @@
 }
 
 // What nothing may be launched before does not queue behind progress.
-TEST(Writer, UrgentRecordsGoFirst) {
+TEST(StateWriter, UrgentRecordsGoFirst) {
   Context context(1);
-  Directory directory(&context);
-  Leadership leadership(&context, &directory, "node-0", 14, 39);
+  JobCache job_cache(&context);
+  LeaderElection election(&context, &job_cache, "node-0", 14, 39);
   ClusterSettings settings;
   const StateLimitTracker limits(settings);
-  Writer writer(&context, &leadership, &limits);
+  StateWriter writer(&context, &election, &limits);
   for (int i = 0; i < 100; ++i)
     writer.Put(keys::Progress("job-" + std::to_string(i), 0), "{}");
   writer.Put(keys::Machine("n-1"), "{}", {nullptr, nullptr, /*urgent=*/true});
@@ -613,7 +616,7 @@
   ASSERT_FALSE(context.out.empty());
   const auto* sent = std::get_if<StateTransaction>(&context.out.front());
   ASSERT_NE(sent, nullptr);
-  EXPECT_EQ(sent->ops.front().key, keys::Machine("n-1"));
+  EXPECT_EQ(sent->mutations.front().key, keys::Machine("n-1"));
 }
 
 // A team whose jobs fill the front of the queue, and fit nowhere now, does not
@@ -693,8 +696,8 @@
     return leader.now() - removed;
   };
   EXPECT_LT(pause(false), 1.5);
-  EXPECT_GT(pause(true), kShyPauseS);
-  EXPECT_LT(pause(true), kShyPauseS + 1.5);
+  EXPECT_GT(pause(true), kResignedElectionDelayS);
+  EXPECT_LT(pause(true), kResignedElectionDelayS + 1.5);
 }
 
 // All of many machines fall silent at once: the lead is left within three
@@ -763,7 +766,7 @@
     for (; starts == 0 && since < 30; since += 1) {
       for (Healthy& machine : machines) {
         // The others answer directly too.
-        WorkerReport& direct = leader.direct[machine.name];
+        Heartbeat& direct = leader.direct[machine.name];
         direct.machine = machine.name;
         direct.address = machine.name + ":1";
         starts += machine.Beat(&leader);
@@ -798,7 +801,7 @@
   leader.AddJob("job-000003", 100, 1, "", "study", "guests");
   const auto started = [&](const std::string& job) {
     return std::count_if(machine.tasks.begin(), machine.tasks.end(),
-                         [&](const TaskReport& t) { return t.job == job; });
+                         [&](const TaskStatus& t) { return t.job == job; });
   };
   for (size_t ended = 0; ended < 8; ++ended) {
     leader.Run(2);
@@ -808,7 +811,7 @@
     machine.Beat(&leader);
   }
   EXPECT_EQ(started("job-000002"), 1);
-  for (TaskReport& task : machine.tasks)
+  for (TaskStatus& task : machine.tasks)
     if (task.job == "job-000001") {
       task.state = TaskState::kExited;
       task.reason = ExitReason::kDone;
@@ -831,8 +834,8 @@
   ASSERT_EQ(machine.tasks.size(), 16u);
   leader.AddJob("job-000001", 3, 2);
   leader.Run(3);
-  const AnswerWorker answer = leader.Report("n-1", 1, ++machine.sequence,
-                                            leader.token(), machine.tasks);
+  const HeartbeatResponse answer = leader.OnHeartbeat(
+      "n-1", 1, ++machine.sequence, leader.token(), machine.tasks);
   int stops = 0;
   for (const Command& c : answer.commands)
     if (c.kind == CommandKind::kStop) {
@@ -873,34 +876,34 @@
 }
 
 // However many arrays write down their progress, jobs end.
-TEST(Writer, EndsOfJobsAreNotKeptByProgress) {
+TEST(StateWriter, EndsOfJobsAreNotKeptByProgress) {
   Context context(1);
-  Directory directory(&context);
-  Leadership leadership(&context, &directory, "node-0", 14, 39);
+  JobCache job_cache(&context);
+  LeaderElection election(&context, &job_cache, "node-0", 14, 39);
   ClusterSettings settings;
   const StateLimitTracker limits(settings);
-  Writer writer(&context, &leadership, &limits);
+  StateWriter writer(&context, &election, &limits);
   int ends = 0, progress = 0;
   for (int tick = 0; tick < 250; ++tick) {
     context.now = 100 + 0.04 * tick;
     for (int i = 0; i < 100; ++i)
       writer.Put(keys::Progress("job-" + std::to_string(i), 0), "{}");
     writer.Tick();
-    for (; writer.AllowsEnd(); ++ends)
-      writer.CommitEnd({}, {{true, "a", "", 0}, {true, "b", "", 0}},
-                       [](const StateResult&) {});
+    for (; writer.MayCommitJobEnd(); ++ends)
+      writer.CommitJobEnd({}, {{true, "a", "", 0}, {true, "b", "", 0}},
+                          [](const StateResult&) {});
     for (const Action& action : std::exchange(context.out, {})) {
       const auto* sent = std::get_if<StateTransaction>(&action);
       if (!sent) continue;
-      if (sent->ops.front().key != "a")
-        progress += static_cast<int>(sent->ops.size());
+      if (sent->mutations.front().key != "a")
+        progress += static_cast<int>(sent->mutations.size());
       StateResult result;
       result.id = sent->id;
       result.outcome = Outcome::kOk;
       context.Deliver(result);
     }
   }
-  const double rate = settings.state_write_rps * kWriteShare;
+  const double rate = settings.state_write_rps * kLeaderWriteShare;
   EXPECT_GT(2 * ends, 10 * rate * 0.4);
   EXPECT_GT(progress, 10 * rate * 0.4);
   EXPECT_LT(2 * ends + progress, 12 * rate);
--- a/tests/load_spread_test.cc
+++ b/tests/load_spread_test.cc
@@ -23,19 +23,19 @@
   void Beat(ScriptedLeader* leader) {
     if (hangs) return;
     const uint64_t token = sequence_ == 0 ? 0 : leader->token();
-    Execute(leader->Report(name_, 1, ++sequence_, token, tasks_));
+    Execute(leader->OnHeartbeat(name_, 1, ++sequence_, token, tasks_));
   }
   // The same report once more, late.
   void RepeatOldReport(ScriptedLeader* leader,
-                       const std::vector<TaskReport>& tasks,
+                       const std::vector<TaskStatus>& tasks,
                        uint64_t sequence) {
-    leader->Report(name_, 1, sequence, leader->token(), tasks);
+    leader->OnHeartbeat(name_, 1, sequence, leader->token(), tasks);
   }
   void Finish(const std::string& job, uint32_t task) {
-    for (TaskReport& report : tasks_)
-      if (report.job == job && report.task == task) {
-        report.state = TaskState::kExited;
-        report.reason = ExitReason::kDone;
+    for (TaskStatus& status : tasks_)
+      if (status.job == job && status.task == task) {
+        status.state = TaskState::kExited;
+        status.reason = ExitReason::kDone;
       }
   }
 
@@ -46,23 +46,23 @@
   }
   size_t Running(const std::string& job = "") const {
     return static_cast<size_t>(
-        std::count_if(tasks_.begin(), tasks_.end(), [&](const TaskReport& t) {
+        std::count_if(tasks_.begin(), tasks_.end(), [&](const TaskStatus& t) {
           return t.state == TaskState::kRunning &&
                  (job.empty() || t.job == job);
         }));
   }
   const std::string& name() const { return name_; }
-  const std::vector<TaskReport>& tasks() const { return tasks_; }
+  const std::vector<TaskStatus>& tasks() const { return tasks_; }
   uint64_t sequence() const { return sequence_; }
   bool hangs = false;
   int stops = 0;
 
  private:
-  void Execute(const AnswerWorker& answer) {
+  void Execute(const HeartbeatResponse& answer) {
     if (answer.status != 200) return;
     for (const Command& command : answer.commands) {
       auto it =
-          std::find_if(tasks_.begin(), tasks_.end(), [&](const TaskReport& t) {
+          std::find_if(tasks_.begin(), tasks_.end(), [&](const TaskStatus& t) {
             return t.job == command.job && t.task == command.task &&
                    t.attempt == command.attempt;
           });
@@ -83,7 +83,7 @@
 
   std::string name_;
   uint64_t sequence_ = 0;
-  std::vector<TaskReport> tasks_;
+  std::vector<TaskStatus> tasks_;
 };
 
 PolicySettings Spread() {
@@ -142,7 +142,7 @@
   void CheckNothingRunsTwice() {
     std::set<TaskKey> running;
     for (const auto& worker : workers_) {
-      for (const TaskReport& task : worker->tasks()) {
+      for (const TaskStatus& task : worker->tasks()) {
         if (task.state != TaskState::kRunning) continue;
         EXPECT_TRUE(running.insert({task.job, task.task}).second)
             << task.job << "/" << task.task << " runs twice";
@@ -174,7 +174,9 @@
     }
     ASSERT_GT(Moves().begun, 0u);
   }
-  Rebalancer::Figures Moves() { return leader_.Measure().scheduler.spread; }
+  Rebalancer::Statistics Moves() {
+    return leader_.CollectStatistics().scheduler.spread;
+  }
   uint64_t GivenUp(MoveFailure failure) {
     const auto given_up = Moves().given_up;
     const auto it = given_up.find(failure);
@@ -232,9 +234,9 @@
 TEST_F(LoadSpreadTest, APlaceThatIsLostIsGivenUp) {
   MakeUneven();
   RunUntilStopped(first_);
-  leader_.notice_s = 30;  // the cloud takes the second machine back
+  leader_.preemption_notice_s = 30;  // the cloud takes the second machine back
   second_->Beat(&leader_);
-  leader_.notice_s.reset();
+  leader_.preemption_notice_s.reset();
   Run(4);
   EXPECT_GT(GivenUp(MoveFailure::kPlaceLost), 0u);
   EXPECT_EQ(Moves().under_way, 0u);
@@ -301,10 +303,10 @@
 
 TEST_F(LoadSpreadTest, LateCopiesDoNotBringBackALoad) {
   MakeUneven();
-  const std::vector<TaskReport> crowded = first_->tasks();
+  const std::vector<TaskStatus> crowded = first_->tasks();
   const uint64_t sequence = first_->sequence();
   Run(60);
-  const Rebalancer::Figures before = Moves();
+  const Rebalancer::Statistics before = Moves();
   ASSERT_GT(before.finished, 0u);
   for (int i = 0; i < 10; ++i) {
     first_->RepeatOldReport(&leader_, crowded, sequence);
@@ -349,7 +351,8 @@
   Run(60);
   ASSERT_GT(Moves().finished, 0u);
   // Tasks on both machines have run equally long in all.
-  const uint64_t kills = leader_.Measure().scheduler.speculative_kills;
+  const uint64_t kills =
+      leader_.CollectStatistics().scheduler.speculative_kills;
   EXPECT_EQ(kills, 0u);
 }
 
@@ -458,7 +461,7 @@
     Run(2);
     for (Worker* worker : workers) {
       const double run_s = worker == workers[0] ? 30 : 10;
-      for (const TaskReport& task : std::vector(worker->tasks())) {
+      for (const TaskStatus& task : std::vector(worker->tasks())) {
         if (task.job != "job-000001" || task.state != TaskState::kRunning)
           continue;
         double& at = began[{task.job, task.task}];
--- a/tests/loopback/controllers.cc
+++ b/tests/loopback/controllers.cc
@@ -75,13 +75,13 @@
     addresses_[name] = settings.back()["serve_on"];
   }
   for (int i = 0; i < count; ++i) {
-    json siblings = json::array();
+    json peers = json::array();
     for (int other = 0; other < count; ++other)
       if (other != i)
-        siblings.push_back({{"node_name", settings[other]["node_name"]},
-                            {"site", settings[other]["site"]},
-                            {"addr", settings[other]["mesh_addr"]}});
-    settings[i]["siblings"] = siblings;
+        peers.push_back({{"node_name", settings[other]["node_name"]},
+                         {"site", settings[other]["site"]},
+                         {"addr", settings[other]["mesh_addr"]}});
+    settings[i]["siblings"] = peers;
     Process process;
     process.config = directory_ + "/" + std::to_string(i) + ".json";
     process.log = directory_ + "/" + std::to_string(i) + ".log";
--- a/tests/loopback/worker.cc
+++ b/tests/loopback/worker.cc
@@ -54,11 +54,11 @@
       lease_from_s_(Now()),
       controller_(settings_.controllers.begin()->first) {
   server_.new_task_queue = [] { return new httplib::ThreadPool(kThreads); };
-  server_.Get("/inspect",
-              [this](const httplib::Request&, httplib::Response& response) {
-                std::lock_guard lock(mutex_);
-                response.set_content(MakeReport().dump(), "application/json");
-              });
+  server_.Get(
+      "/inspect", [this](const httplib::Request&, httplib::Response& response) {
+        std::lock_guard lock(mutex_);
+        response.set_content(MakeHeartbeat().dump(), "application/json");
+      });
   server_.Post("/commands", [this](const httplib::Request& request,
                                    httplib::Response& response) {
     const json body = json::parse(request.body);
@@ -72,7 +72,7 @@
       Execute(body.value("orders", json::array()));
     }
     response.status = accepted ? 200 : 409;
-    response.set_content(MakeReport().dump(), "application/json");
+    response.set_content(MakeHeartbeat().dump(), "application/json");
   });
   port_ = server_.bind_to_any_port("127.0.0.1");
   serving_ = std::thread([this] { server_.listen_after_bind(); });
@@ -111,7 +111,7 @@
     }
     if (!due || ending_) continue;
     last_report_s = Now();
-    SendReport();
+    SendHeartbeat();
   }
 }
 
@@ -149,7 +149,7 @@
   tasks_.clear();
 }
 
-json StandInWorker::MakeReport() {
+json StandInWorker::MakeHeartbeat() {
   json parts = json::array();
   for (const auto& [id, task] : tasks_) {
     json part = {{"part", id}, {"try", task.attempt}, {"status", task.status}};
@@ -175,14 +175,14 @@
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
 }
 
-void StandInWorker::SendReport() {
+void StandInWorker::SendHeartbeat() {
   std::string body;
-  uint64_t session = 0;
+  uint64_t incarnation = 0;
   {
     std::lock_guard lock(mutex_);
     changed_ = false;
-    body = MakeReport().dump();
-    session = session_;
+    body = MakeHeartbeat().dump();
+    incarnation = session_;
     next_report_s_ = Now() + settings_.report_s;
   }
   const double sent_s = Now();
@@ -191,7 +191,8 @@
   httplib::Client client(endpoint.host, endpoint.port);
   client.set_read_timeout(kAnswerTimeoutS);
   client.set_connection_timeout(1);
-  const auto result = client.Post(wire::kReportPath, body, "application/json");
+  const auto result =
+      client.Post(wire::kHeartbeatPath, body, "application/json");
   if (!result || Now() - sent_s > kAnswerTimeoutS || result->status != 200) {
     const json answer =
         result ? json::parse(result->body, nullptr, false) : json::object();
@@ -201,7 +202,7 @@
   const json answer = json::parse(result->body);
   std::lock_guard lock(mutex_);
   const uint64_t token = answer.value("baton", uint64_t{0});
-  if (token < token_ || session != session_) return;  // dropped
+  if (token < token_ || incarnation != session_) return;  // dropped
   changed_ = changed_ || token > token_;
   token_ = token;
   lease_from_s_ = std::max(lease_from_s_, sent_s);
--- a/tests/loopback/worker.h
+++ b/tests/loopback/worker.h
@@ -62,13 +62,13 @@
 
   void Loop();
   void Advance();
-  void SendReport();
+  void SendHeartbeat();
   void Execute(const nlohmann::json& orders);
   void Start(const std::string& id, uint64_t attempt);
   void Stop(Task* task, double grace_s);
   void End(Task* task, const std::string& cause);
   void LoseAll();
-  nlohmann::json MakeReport();
+  nlohmann::json MakeHeartbeat();
   void NextController(const std::string& named);
 
   const std::string name_, type_, zone_;
--- a/tests/scale_measurement.cc
+++ b/tests/scale_measurement.cc
@@ -1,7 +1,7 @@
 // Measures what a leader's work costs at fleets of several sizes: processor
 // time for each report, in all and for the costliest input, while the fleet
 // starts, runs, and is taken over. Prints a table; no part of the tests, since
-// its figures depend on the machine.
+// its statistics depend on the machine.
 #include <cstdio>
 #include <cstdlib>
 
@@ -13,7 +13,7 @@
 constexpr int kMachinesAtScaleOne = 1500;
 constexpr int kJobsAtScaleOne = 120;
 
-WorldOptions Fleet(double scale) {
+WorldOptions Autoscaler(double scale) {
   WorldOptions options;
   options.fleet = true;
   options.fleet_scale = scale;
@@ -26,15 +26,15 @@
   return options;
 }
 
-void Measure(int machines) {
+void CollectStatistics(int machines) {
   const double scale = static_cast<double>(machines) / kMachinesAtScaleOne;
-  World world(Fleet(scale));
+  World world(Autoscaler(scale));
   world.Run();
   const World::Cost& cost = world.cost();
   std::printf("%8d %8d %9llu %12.1f %10.2f\n", machines,
               world.machines_rented(),
               static_cast<unsigned long long>(cost.reports),
-              cost.PerReport() * 1e6, cost.most_s * 1e3);
+              cost.PerHeartbeat() * 1e6, cost.most_s * 1e3);
 }
 
 }  // namespace
@@ -44,9 +44,10 @@
   std::printf("machines   rented   reports us/report(mean)  peak ms\n");
   if (argc < 2) {
     for (const int machines : {500, 1500, 4500})
-      sorrelwood::test::Measure(machines);
+      sorrelwood::test::CollectStatistics(machines);
     return 0;
   }
-  for (int i = 1; i < argc; ++i) sorrelwood::test::Measure(std::atoi(argv[i]));
+  for (int i = 1; i < argc; ++i)
+    sorrelwood::test::CollectStatistics(std::atoi(argv[i]));
   return 0;
 }
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -30,7 +30,7 @@
   ScriptedLeader(double report_s, const PolicySettings& policy)
       : policy_(policy) {
     settings_.node = "node-0";
-    settings_.siblings = {{"node-1", "a", "10.0.0.2:1"}};
+    settings_.peers = {{"node-1", "a", "10.0.0.2:1"}};
     settings_.teams = {{"team", 10000, 20000, 0, 0},
                        {"other", 10, 100, 0, 0},
                        {"guests", 0, kNoLimit, 0, kNoLimit}};
@@ -109,22 +109,23 @@
   }
 
   // A report and the answer to it.
-  AnswerWorker Report(const std::string& machine, uint64_t session,
-                      uint64_t sequence, uint64_t token,
-                      std::vector<TaskReport> tasks = {}) {
-    WorkerReport report;
-    report.machine = machine;
-    report.address = machine + ":1";
+  HeartbeatResponse OnHeartbeat(const std::string& machine,
+                                uint64_t incarnation, uint64_t sequence,
+                                uint64_t token,
+                                std::vector<TaskStatus> tasks = {}) {
+    Heartbeat heartbeat;
+    heartbeat.machine = machine;
+    heartbeat.address = machine + ":1";
     const auto place = places.find(machine);
-    report.type = place == places.end() ? "big" : place->second.type;
-    report.zone = place == places.end() ? "a" : place->second.zone;
-    report.notice_s = notice_s;
-    report.session = session;
-    report.sequence = sequence;
-    report.token = token;
-    report.tasks = std::move(tasks);
-    answer_ = AnswerWorker();
-    Handle(controller_->Report(Time(), ++request_, report));
+    heartbeat.type = place == places.end() ? "big" : place->second.type;
+    heartbeat.zone = place == places.end() ? "a" : place->second.zone;
+    heartbeat.preemption_notice_s = preemption_notice_s;
+    heartbeat.incarnation = incarnation;
+    heartbeat.sequence = sequence;
+    heartbeat.fencing_token = token;
+    heartbeat.tasks = std::move(tasks);
+    answer_ = HeartbeatResponse();
+    Handle(controller_->OnHeartbeat(Time(), ++request_, heartbeat));
     most_work_ = std::max(most_work_, controller_->work());
     return answer_;
   }
@@ -138,7 +139,7 @@
   std::vector<MachineType> types = {
       {"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"a"}}};
   // Of the next reports: until the cloud takes the machine.
-  std::optional<double> notice_s;
+  std::optional<double> preemption_notice_s;
 
   // The process stands still: the clock goes on, nothing is heard.
   void StandStill(double seconds) { now_ += seconds; }
@@ -150,14 +151,14 @@
     keys_.erase(keys::kLeader);
     news_.push_back({keys::kLeader, "", ++revision_});
   }
-  bool leading() { return controller_->Measure().leading; }
+  bool leading() { return controller_->CollectStatistics().leading; }
   double now() const { return now_; }
   // The last release that was asked for, and by when it must have left.
   double release_not_after = 0;
   // Machines that a rental brings, one each; none: there is no capacity.
   std::deque<std::string> to_rent;
-  AnswerUser Ask(bool submit, const std::string& id) {
-    user_answer_ = AnswerUser{0, 0, "", 0};
+  ClientResponse Ask(bool submit, const std::string& id) {
+    user_answer_ = ClientResponse{0, 0, "", 0};
     JobSpec spec;
     spec.id = id;
     spec.team = "team";
@@ -183,14 +184,16 @@
     news_.push_back({keys::Final(id), keys_[keys::Final(id)].first, revision_});
   }
   void Repeat(const JobSpec& spec) {
-    user_answer_ = AnswerUser{0, 0, "", 0};
+    user_answer_ = ClientResponse{0, 0, "", 0};
     Handle(controller_->Submit(Time(), ++request_, spec));
   }
   int user_status() const { return user_answer_.status; }
   int user_reads = 0;
 
-  Controller::Figures Measure() { return controller_->Measure(); }
-  uint64_t token() { return controller_->Measure().term; }
+  Controller::Statistics CollectStatistics() {
+    return controller_->CollectStatistics();
+  }
+  uint64_t token() { return controller_->CollectStatistics().term; }
   uint64_t most_work() const { return most_work_; }
   void ForgetWork() { most_work_ = 0; }
   bool Released(const std::string& machine) const {
@@ -200,9 +203,9 @@
   bool cloud_out = false;
   std::vector<std::string> listed;  // by the cloud; none: it does not answer
   // What machines answer to a direct command; the others do not.
-  std::map<std::string, WorkerReport> direct;
+  std::map<std::string, Heartbeat> direct;
 
-  static int Starts(const AnswerWorker& answer) {
+  static int Starts(const HeartbeatResponse& answer) {
     return static_cast<int>(std::count_if(
         answer.commands.begin(), answer.commands.end(),
         [](const Command& c) { return c.kind == CommandKind::kStart; }));
@@ -213,8 +216,9 @@
 
   void Handle(Actions actions) {
     for (Action& action : actions) {
-      if (auto* answer = std::get_if<AnswerWorker>(&action)) answer_ = *answer;
-      if (auto* answer = std::get_if<AnswerUser>(&action))
+      if (auto* answer = std::get_if<HeartbeatResponse>(&action))
+        answer_ = *answer;
+      if (auto* answer = std::get_if<ClientResponse>(&action))
         user_answer_ = *answer;
       if (auto* release = std::get_if<CloudRelease>(&action))
         release_not_after = release->not_after - now_;
@@ -237,22 +241,22 @@
     result.revision = revision_;
     return result;
   }
-  void Serve(const DirectCommand& command) {
-    DirectResult result;
+  void Serve(const PushedCommands& command) {
+    PushResult result;
     result.id = command.id;
     auto it = direct.find(command.machine);
     result.answered = result.accepted = it != direct.end();
     if (result.answered) {
-      result.report = it->second;
-      result.report.token = command.token;
+      result.heartbeat = it->second;
+      result.heartbeat.fencing_token = command.fencing_token;
     }
     Give(result);
   }
   void Serve(const StateTransaction& t) {
-    if (users_unanswered &&
-        (t.lane == StateLane::kUser || t.lane == StateLane::kPoll))
+    if (users_unanswered && (t.connection == StateConnection::kUser ||
+                             t.connection == StateConnection::kPoll))
       return;
-    for (const Guard& guard : t.guards) {
+    for (const Precondition& guard : t.preconditions) {
       auto it = keys_.find(guard.key);
       if ((it == keys_.end() ? 0 : it->second.second) == guard.version)
         continue;
@@ -263,7 +267,7 @@
       return;
     }
     ++revision_;
-    for (const StateOp& op : t.ops) {
+    for (const Mutation& op : t.mutations) {
       if (op.remove)
         keys_.erase(op.key);
       else
@@ -272,8 +276,8 @@
     Give(Ok(t.id));
   }
   void Serve(const StateGet& get) {
-    if (get.lane == StateLane::kPoll) ++user_reads;
-    if (users_unanswered && get.lane == StateLane::kPoll) return;
+    if (get.connection == StateConnection::kPoll) ++user_reads;
+    if (users_unanswered && get.connection == StateConnection::kPoll) return;
     StateResult result = Ok(get.id);
     auto it = keys_.find(get.key);
     if (it == keys_.end())
@@ -304,7 +308,7 @@
     news_.clear();
     Give(result);
   }
-  void Serve(const MeshSend&) {  // once a second: the watch is looked at
+  void Serve(const SendPeerStatus&) {  // once a second: the watch is looked at
     if (watch_.id == 0) return;
     const StateWatch watch = std::exchange(watch_, {});
     next_watch_ = 0;
@@ -368,8 +372,8 @@
   std::map<std::string, std::pair<std::string, uint64_t>> keys_;
   std::vector<std::tuple<std::string, std::string, uint64_t>> news_;
   StateWatch watch_;
-  AnswerWorker answer_;
-  AnswerUser user_answer_;
+  HeartbeatResponse answer_;
+  ClientResponse user_answer_;
   std::set<std::string> released_;
 };
 
@@ -379,12 +383,12 @@
 
   std::string name;
   uint64_t sequence = 0;
-  std::vector<TaskReport> tasks;
+  std::vector<TaskStatus> tasks;
 
   int Beat(ScriptedLeader* leader) {
     const uint64_t token = sequence == 0 ? 0 : leader->token();
-    const AnswerWorker answer =
-        leader->Report(name, 1, ++sequence, token, tasks);
+    const HeartbeatResponse answer =
+        leader->OnHeartbeat(name, 1, ++sequence, token, tasks);
     for (const Command& c : answer.commands)
       if (c.kind == CommandKind::kStart)
         tasks.push_back({c.job, c.task, c.attempt, TaskState::kRunning});
@@ -401,7 +405,7 @@
   return machines;
 }
 
-inline int Stops(const AnswerWorker& answer) {
+inline int Stops(const HeartbeatResponse& answer) {
   return static_cast<int>(std::count_if(
       answer.commands.begin(), answer.commands.end(),
       [](const Command& c) { return c.kind == CommandKind::kStop; }));
--- a/tests/spread_measurement.cc
+++ b/tests/spread_measurement.cc
@@ -35,7 +35,7 @@
   return options;
 }
 
-void Measure(uint64_t seed, bool burst, Mode mode) {
+void CollectStatistics(uint64_t seed, bool burst, Mode mode) {
   World world(Day(seed, burst, mode));
   world.Run();
   const char* names[] = {"off", "placement", "moves"};
@@ -47,7 +47,7 @@
       world.uneven_until(),
       static_cast<unsigned long long>(world.moves_finished()),
       world.jobs_done(), world.MeanJobTime(), world.machine_s(),
-      world.cost().PerReport() * 1e6, world.broken().size());
+      world.cost().PerHeartbeat() * 1e6, world.broken().size());
 }
 
 }  // namespace
@@ -62,6 +62,6 @@
   for (const bool burst : {true, false})
     for (uint64_t seed = 1; seed <= seeds; ++seed)
       for (const Mode mode : {Mode::kOff, Mode::kPlacement, Mode::kMoves})
-        sorrelwood::test::Measure(seed, burst, mode);
+        sorrelwood::test::CollectStatistics(seed, burst, mode);
   return 0;
 }
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -7,10 +7,10 @@
 #include <set>
 
 #include "base/constants.h"
-#include "core/api/front_desk.h"
+#include "core/api/job_api.h"
+#include "core/coordination/completion_store.h"
 #include "core/coordination/keys.h"
-#include "core/coordination/progress_store.h"
-#include "core/coordination/writer.h"
+#include "core/coordination/state_writer.h"
 #include "protocol/json.h"
 
 namespace sorrelwood {
@@ -31,8 +31,8 @@
 
 TEST(StateLimits, FallOnceARefusalShowsItAndStay) {
   StateLimitTracker limits(FallingLimits(2, 5));
-  EXPECT_EQ(limits.transaction_changes(), 5);
-  EXPECT_EQ(limits.transaction_guards(), 20u);
+  EXPECT_EQ(limits.max_mutations(), 5);
+  EXPECT_EQ(limits.max_preconditions(), 20u);
   EXPECT_EQ(limits.value_bytes(), 8192u);
   EXPECT_DOUBLE_EQ(limits.changes_per_s(), 60);
   limits.Learn(Refusal(StateRefusal::kNone));
@@ -50,7 +50,7 @@
   StateLimitTracker limits{ClusterSettings()};
   limits.Learn(Refusal(StateRefusal::kTooLarge));
   limits.Learn(Refusal(StateRefusal::kTooManyChanges));
-  EXPECT_EQ(limits.transaction_changes(), 16);
+  EXPECT_EQ(limits.max_mutations(), 16);
   EXPECT_EQ(limits.value_bytes(), 8192u);
   EXPECT_DOUBLE_EQ(limits.changes_per_s(), 60);
 }
@@ -61,14 +61,14 @@
   explicit LimitedStore(const ClusterSettings& settings)
       : limits_(settings),
         context_(1),
-        directory_(&context_),
-        leadership_(&context_, &directory_, "node-0", 14, 39),
-        writer_(&context_, &leadership_, &limits_) {}
+        job_cache_(&context_),
+        election_(&context_, &job_cache_, "node-0", 14, 39),
+        writer_(&context_, &election_, &limits_) {}
 
   size_t value_bytes = 8192;
   size_t changes = 16;
 
-  Writer& writer() { return writer_; }
+  StateWriter& writer() { return writer_; }
   const StateLimitTracker& limits() const { return limits_; }
   const std::map<std::string, std::string>& values() const { return values_; }
   int refused() const { return refused_; }
@@ -96,13 +96,14 @@
     StateResult result;
     result.id = transaction.id;
     result.outcome = Outcome::kOk;
-    for (const StateOp& op : transaction.ops)
-      if (op.value.size() > value_bytes || transaction.ops.size() > changes) {
+    for (const Mutation& op : transaction.mutations)
+      if (op.value.size() > value_bytes ||
+          transaction.mutations.size() > changes) {
         result = Refusal(StateRefusal::kTooLarge);
         result.id = transaction.id;
       }
     if (result.outcome == Outcome::kOk) {
-      for (const StateOp& op : transaction.ops) {
+      for (const Mutation& op : transaction.mutations) {
         if (op.remove)
           values_.erase(op.key);
         else
@@ -117,15 +118,15 @@
 
   StateLimitTracker limits_;
   Context context_;
-  Directory directory_;
-  Leadership leadership_;
-  Writer writer_;
+  JobCache job_cache_;
+  LeaderElection election_;
+  StateWriter writer_;
   std::map<std::string, std::string> values_;
   double now_ = 100;
   int refused_ = 0;
 };
 
-TEST(Writer, AValueThatIsNeverTakenHoldsUpNothing) {
+TEST(StateWriter, AValueThatIsNeverTakenHoldsUpNothing) {
   LimitedStore store{ClusterSettings()};
   int given_up = 0;
   const std::string large(9000, 'x');
@@ -140,7 +141,7 @@
   EXPECT_EQ(store.refused(), 2);
 }
 
-TEST(Writer, BatchesKeepToTheSmallerLimitFromTheStart) {
+TEST(StateWriter, BatchesKeepToTheSmallerLimitFromTheStart) {
   LimitedStore store(FallingLimits(2, 5));
   store.changes = 5;
   for (int i = 0; i < 100; ++i)
@@ -166,11 +167,11 @@
   const size_t small = GetParam();
   LimitedStore store(FallingLimits(static_cast<double>(small) / 1024, 5));
   JobTable jobs;
-  ProgressStore progress(&jobs, &store.writer(), &store.limits());
+  CompletionStore progress(&jobs, &store.writer(), &store.limits());
   Job* job = jobs.Add(ArrayOf(kTasks), 1, false, 0);
   const auto complete = [&](uint32_t begin, uint32_t end) {
     for (uint32_t n = begin; n < end; ++n) jobs.MarkDone(job, n);
-    progress.MarkUnwritten("job-1");
+    progress.MarkDirty("job-1");
   };
   complete(0, 20000);
   complete(99990, 99995);
@@ -190,11 +191,11 @@
 
   // The next leader reads both forms.
   JobTable next_jobs;
-  ProgressStore next(&next_jobs, &store.writer(), &store.limits());
+  CompletionStore next(&next_jobs, &store.writer(), &store.limits());
   next.Load(store.Listing());
   Job* again = next_jobs.Add(ArrayOf(kTasks), 1, true, 0);
   next.Restore(again);
-  next.EndLoading();
+  next.FinishLoading();
   EXPECT_EQ(again->done.ranges(), job->done.ranges());
   next.Remove("job-1");
   store.Run(10, nullptr);
@@ -207,16 +208,16 @@
 // The version before takes any string of digits for a whole chunk, so a part
 // must be nothing that it can read.
 TEST(Progress, APartIsNoWholeChunk) {
-  ProgressRecord part{4096, "ff"};
-  EXPECT_EQ(wire::EncodeProgress(part), R"({"bits":"ff","from":4096})");
-  ProgressRecord read;
-  ASSERT_TRUE(wire::ParseProgress(wire::EncodeProgress(part), &read));
+  CompletionRecord part{4096, "ff"};
+  EXPECT_EQ(wire::EncodeCompletions(part), R"({"bits":"ff","from":4096})");
+  CompletionRecord read;
+  ASSERT_TRUE(wire::ParseCompletions(wire::EncodeCompletions(part), &read));
   EXPECT_EQ(read.first_task, 4096u);
   EXPECT_EQ(read.bits_hex, "ff");
   for (const char* bad :
        {"{}", "7", "[]", R"({"from":1})", R"({"from":-1,"bits":"f"})",
         R"({"from":100000,"bits":"f"})", R"({"from":0,"bits":"xyz"})"})
-    EXPECT_FALSE(wire::ParseProgress(bad, &read)) << bad;
+    EXPECT_FALSE(wire::ParseCompletions(bad, &read)) << bad;
 }
 
 // Users' submissions under a limit on values.
@@ -224,10 +225,9 @@
  protected:
   Submissions()
       : limits_(settings_),
-        directory_(&context_),
-        front_desk_(&context_, &directory_, &limits_, &settings_) {
-    front_desk_.LearnCatalog(
-        {{"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"zone"}}});
+        job_cache_(&context_),
+        job_api_(&context_, &job_cache_, &limits_, &settings_) {
+    job_api_.UpdateCatalog({{"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"zone"}}});
   }
   static ClusterSettings Settings() {
     ClusterSettings settings = FallingLimits(2, 5);
@@ -246,16 +246,16 @@
   // The answer to a submission; the state service holds values of `most` bytes
   // and, if `known`, the job already.
   int Submit(const JobSpec& spec, size_t most, bool known) {
-    front_desk_.Submit(++request_, spec);
+    job_api_.Submit(++request_, spec);
     int status = 0;
     for (int round = 0; round < 5; ++round) {
       for (const Action& action : std::exchange(context_.out, {})) {
-        if (const auto* answer = std::get_if<AnswerUser>(&action))
+        if (const auto* answer = std::get_if<ClientResponse>(&action))
           status = answer->status;
         StateResult result;
         if (const auto* sent = std::get_if<StateTransaction>(&action)) {
           result.id = sent->id;
-          const bool fits = sent->ops[0].value.size() <= most;
+          const bool fits = sent->mutations[0].value.size() <= most;
           result.outcome = !fits   ? Outcome::kRefused
                            : known ? Outcome::kConflict
                                    : Outcome::kOk;
@@ -283,8 +283,8 @@
   ClusterSettings settings_ = Settings();
   StateLimitTracker limits_;
   Context context_{1};
-  Directory directory_;
-  FrontDesk front_desk_;
+  JobCache job_cache_;
+  JobApi job_api_;
   uint64_t request_ = 0;
 };
 
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -62,11 +62,11 @@
   EXPECT_EQ(wire::EncodeTerm(term), R"({"term":7})");
   EXPECT_EQ(wire::EncodeFinal(FinalState::kDone), R"("done")");
   EXPECT_EQ(wire::EncodeFinal(FinalState::kCancelled), R"("cancelled")");
-  ProgressRecord progress;
-  ASSERT_TRUE(wire::ParseProgress(R"("0f3")", &progress));
+  CompletionRecord progress;
+  ASSERT_TRUE(wire::ParseCompletions(R"("0f3")", &progress));
   EXPECT_EQ(progress.bits_hex, "0f3");
   EXPECT_FALSE(progress.first_task.has_value());
-  EXPECT_EQ(wire::EncodeProgress(progress), R"("0f3")");
+  EXPECT_EQ(wire::EncodeCompletions(progress), R"("0f3")");
 }
 
 TEST(StoredForms, NotesAreWrittenAndReadToTheByte) {
@@ -74,11 +74,11 @@
   for (size_t i = 0; kNoteHex[i] != '\0'; i += 2)
     bytes +=
         static_cast<char>(std::stoi(std::string(kNoteHex + i, 2), nullptr, 16));
-  MeshNote note;
-  ASSERT_TRUE(DecodeNote(bytes, &note));
+  PeerStatus note;
+  ASSERT_TRUE(DecodePeerStatus(bytes, &note));
   EXPECT_EQ(note.node, "perch-1");
   EXPECT_EQ(note.term, 7u);
-  EXPECT_EQ(EncodeNote(note), bytes);
+  EXPECT_EQ(EncodePeerStatus(note), bytes);
 }
 
 }  // namespace
--- a/tests/wire_test.cc
+++ b/tests/wire_test.cc
@@ -121,23 +121,23 @@
 }
 
 TEST(Report, IsRead) {
-  WorkerReport report;
+  Heartbeat heartbeat;
   std::string error;
-  ASSERT_TRUE(wire::ParseReport(
+  ASSERT_TRUE(wire::ParseHeartbeat(
       R"({"perch":"n-000231","endpoint":"10.1.0.232:9000","build":"g8",
           "room":"a","loaners":true,"shift":1,"tick":88,"baton":41,
           "warning_s":null,
           "parts":[{"part":"job-000412/3","try":2,"status":"running"},
                    {"part":"job-000398/0","try":1,"status":"ended",
                     "cause":"done"}]})",
-      &report, &error))
+      &heartbeat, &error))
       << error;
-  EXPECT_EQ(report.machine, "n-000231");
-  EXPECT_EQ(report.token, 41u);
-  EXPECT_FALSE(report.notice_s);
-  ASSERT_EQ(report.tasks.size(), 2u);
-  EXPECT_EQ(report.tasks[0].task, 3u);
-  EXPECT_EQ(report.tasks[1].reason, ExitReason::kDone);
+  EXPECT_EQ(heartbeat.machine, "n-000231");
+  EXPECT_EQ(heartbeat.fencing_token, 41u);
+  EXPECT_FALSE(heartbeat.preemption_notice_s);
+  ASSERT_EQ(heartbeat.tasks.size(), 2u);
+  EXPECT_EQ(heartbeat.tasks[0].task, 3u);
+  EXPECT_EQ(heartbeat.tasks[1].reason, ExitReason::kDone);
 }
 
 TEST(Report, MalformedOnesAreRefused) {
@@ -147,26 +147,26 @@
             "parts":[{"part":"job-1","try":1,"status":"running"}]})",
         R"({"perch":"n-1","build":"x","room":"a","shift":1,"tick":2,
             "parts":[3]})"}) {
-    WorkerReport report;
+    Heartbeat heartbeat;
     std::string error;
-    EXPECT_FALSE(wire::ParseReport(body, &report, &error)) << body;
+    EXPECT_FALSE(wire::ParseHeartbeat(body, &heartbeat, &error)) << body;
     EXPECT_FALSE(error.empty());
   }
 }
 
 TEST(Answers, NameTheTokenAndTheOrders) {
-  AnswerWorker answer;
-  answer.token = 41;
+  HeartbeatResponse answer;
+  answer.fencing_token = 41;
   answer.commands = {{CommandKind::kStart, "job-1", 4, 2, 0},
                      {CommandKind::kStop, "job-2", 1, 1, 10},
                      {CommandKind::kForget, "job-3", 0, 1, 0}};
-  const std::string text = wire::EncodeWorkerAnswer(answer);
+  const std::string text = wire::EncodeHeartbeatResponse(answer);
   for (const char* part : {"\"baton\":41", "\"launch\"", "\"job-1/4\"",
                            "\"halt\"", "\"leeway_s\":10", "\"clear\""})
     EXPECT_NE(text.find(part), std::string::npos) << text;
   answer.status = 421;
   answer.redirect = "perch-2";
-  EXPECT_EQ(wire::EncodeWorkerAnswer(answer), R"({"steward":"perch-2"})");
+  EXPECT_EQ(wire::EncodeHeartbeatResponse(answer), R"({"steward":"perch-2"})");
 }
 
 TEST(StateService, AnswersThatMakeNoSenseAreRefused) {
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -56,11 +56,11 @@
   double deaf_until = 0;    // nothing reaches it
   double mute_until = 0;    // it reaches no controller
   double taken_at = 0, gone_at = 0;
-  uint64_t session = 1, sequence = 0, token = 0;
+  uint64_t incarnation = 1, sequence = 0, fencing_token = 0;
   double lease_from = 0;
   int target = 0;
   bool in_flight = false;
-  double next_report = 0, last_report = -1;
+  double next_report = 0, last_heartbeat_at = -1;
   bool changed = false;
   uint64_t request = 0;
   std::map<TaskKey, SimTask> tasks;
@@ -298,7 +298,7 @@
     case F::kMachineBack:
       if (victim) {
         LoseAll(*victim);
-        NewSession(*victim);
+        OnNewIncarnation(*victim);
       }
       break;
     case F::kLeaderAlone:
@@ -431,7 +431,7 @@
 }
 
 // Each term of a leader counts anew.
-void World::CountMoves(const Rebalancer::Figures& moves) {
+void World::CountMoves(const Rebalancer::Statistics& moves) {
   const auto news = [](uint64_t now, uint64_t before) {
     return now >= before ? now - before : now;
   };
@@ -604,16 +604,17 @@
        [](Controller& c, Controller::Time time) { return c.Tick(time); });
   if (!nodes_[index]->up) return;
   if (!nodes_[index]->controller->Healthy()) ++unhealthy_ticks_;
-  const auto figures = nodes_[index]->controller->Measure();
-  if (figures.leading) CountMoves(figures.scheduler.spread);
-  if (figures.leading && terms_seen_.insert(figures.term).second) {
+  const auto statistics = nodes_[index]->controller->CollectStatistics();
+  if (statistics.leading) CountMoves(statistics.scheduler.spread);
+  if (statistics.leading && terms_seen_.insert(statistics.term).second) {
     ++takeovers_;
-    for (const auto& [request, report] : std::exchange(copies_for_next_, {}))
+    for (const auto& [request, heartbeat] : std::exchange(copies_for_next_, {}))
       for (int node = 0; node < options_.nodes; ++node)
-        After(0.5 * Random(), [this, node, request = request, report = report] {
+        After(0.5 * Random(), [this, node, request = request,
+                               heartbeat = heartbeat] {
           Feed(node, nodes_[node]->life,
-               [request, report](Controller& c, Controller::Time time) {
-                 return c.Report(time, request, report);
+               [request, heartbeat](Controller& c, Controller::Time time) {
+                 return c.OnHeartbeat(time, request, heartbeat);
                });
         });
   }
@@ -622,7 +623,8 @@
 
 int World::LeaderIndex() const {
   for (int i = 0; i < options_.nodes; ++i)
-    if (nodes_[i]->up && nodes_[i]->controller->Measure().leading) return i;
+    if (nodes_[i]->up && nodes_[i]->controller->CollectStatistics().leading)
+      return i;
   return -1;
 }
 
@@ -640,7 +642,7 @@
       continue;
     }
     if (std::holds_alternative<CloudRelease>(action) &&
-        !nodes_[index]->controller->Measure().may_launch)
+        !nodes_[index]->controller->CollectStatistics().may_dispatch)
       Break("a leader whose lease is in doubt returns machines");
     Leave(index, [this, index, action = std::move(action)] {
       Perform(index, action);
@@ -707,8 +709,8 @@
     if (!TooLate(index, *release)) AskCloud(index, *release);
   } else if (auto* machines = std::get_if<CloudList>(&action)) {
     AskCloud(index, *machines);
-  } else if (auto* direct = std::get_if<DirectCommand>(&action)) {
-    const DirectCommand command = *direct;
+  } else if (auto* direct = std::get_if<PushedCommands>(&action)) {
+    const PushedCommands command = *direct;
     auto execute = [this, command, index, life](bool answer) {
       auto it = workers_.find(command.machine);
       if (it == workers_.end() || !it->second->up ||
@@ -716,17 +718,17 @@
           now_ < it->second->deaf_until)
         return;
       Worker& worker = *it->second;
-      DirectResult result;
+      PushResult result;
       result.id = command.id;
       result.answered = true;
-      result.accepted =
-          command.token >= worker.token && command.session == worker.session;
+      result.accepted = command.fencing_token >= worker.fencing_token &&
+                        command.incarnation == worker.incarnation;
       if (result.accepted) {
-        if (command.token > worker.token) worker.changed = true;
-        worker.token = command.token;
+        if (command.fencing_token > worker.fencing_token) worker.changed = true;
+        worker.fencing_token = command.fencing_token;
         Execute(worker, command.commands);
       }
-      result.report = MakeReport(worker);
+      result.heartbeat = MakeHeartbeat(worker);
       if (answer)
         After(Latency(), [this, index, life, result] {
           Feed(index, life, [result](Controller& c, Controller::Time time) {
@@ -738,46 +740,47 @@
     if (Random() < options_.late)
       After(20 + 40 * Random(), [execute] { execute(false); });
     After(1.5, [this, index, life, id = command.id] {
-      DirectResult result;
+      PushResult result;
       result.id = id;
       Feed(index, life, [result](Controller& c, Controller::Time time) {
         return c.Deliver(time, result);
       });
     });
-  } else if (auto* user = std::get_if<AnswerUser>(&action)) {
+  } else if (auto* user = std::get_if<ClientResponse>(&action)) {
     UserAnswer(*user);
-  } else if (auto* worker_answer = std::get_if<AnswerWorker>(&action)) {
-    const AnswerWorker answer = *worker_answer;
+  } else if (auto* worker_answer = std::get_if<HeartbeatResponse>(&action)) {
+    const HeartbeatResponse answer = *worker_answer;
     // Now and then an answer comes just before the worker gives up.
     const double delay = Random() < options_.late ? 3.8 * Random() : Latency();
     After(delay, [this, answer] {
       auto asked = reports_.find(answer.request);
       if (asked == reports_.end()) return;
-      const AskedReport report = asked->second;
+      const AskedReport heartbeat = asked->second;
       reports_.erase(asked);
-      auto it = workers_.find(report.worker);
+      auto it = workers_.find(heartbeat.worker);
       if (it == workers_.end() || !it->second->up) return;
       Worker& worker = *it->second;
       if (!worker.in_flight || worker.request != answer.request) return;
-      if (!Reachable(report.node, worker) || now_ < worker.hung_until ||
+      if (!Reachable(heartbeat.node, worker) || now_ < worker.hung_until ||
           now_ < worker.deaf_until || Random() < options_.lose)
         return;  // lost: the worker gives up after 4 s
       worker.in_flight = false;
       if (answer.status != 200) {
-        int target = (report.node + 1) % options_.nodes;
+        int target = (heartbeat.node + 1) % options_.nodes;
         if (!answer.redirect.empty()) target = answer.redirect.back() - '0';
         worker.target = target;
         worker.next_report = now_ + (answer.redirect.empty() ? 1.0 : 0.3);
         return;
       }
-      if (answer.token < worker.token || report.session != worker.session)
+      if (answer.fencing_token < worker.fencing_token ||
+          heartbeat.incarnation != worker.incarnation)
         return;  // dropped
-      if (answer.token > worker.token) worker.changed = true;
-      worker.token = answer.token;
-      worker.lease_from = std::max(worker.lease_from, report.sent);
+      if (answer.fencing_token > worker.fencing_token) worker.changed = true;
+      worker.fencing_token = answer.fencing_token;
+      worker.lease_from = std::max(worker.lease_from, heartbeat.sent);
       Execute(worker, answer.commands);
     });
-  } else if (auto* note = std::get_if<MeshSend>(&action)) {
+  } else if (auto* note = std::get_if<SendPeerStatus>(&action)) {
     for (int other = 0; other < options_.nodes; ++other) {
       if (other == index || Random() < options_.lose) continue;
       if (silent || now_ < nodes_[other]->silent_until) continue;
@@ -790,7 +793,7 @@
       const int other_life = nodes_[other]->life;
       After(Latency(), [this, other, other_life, note = note->note] {
         Feed(other, other_life, [note](Controller& c, Controller::Time time) {
-          return c.Note(time, note);
+          return c.OnPeerStatus(time, note);
         });
       });
     }
@@ -874,7 +877,7 @@
   });
 }
 
-void World::ApplyOp(const StateOp& op) {
+void World::ApplyOp(const Mutation& op) {
   KeyValue item;
   item.key = op.key;
   item.version = revision_;
@@ -896,12 +899,12 @@
     result.refusal = refusal;
     return result;
   }
-  for (const Guard& guard : request.guards) {
+  for (const Precondition& guard : request.preconditions) {
     auto it = keys_.find(guard.key);
     if ((it == keys_.end() ? 0 : it->second.version) != guard.version)
       result.failed.push_back(guard.key);
   }
-  for (const StateOp& op : request.ops) {
+  for (const Mutation& op : request.mutations) {
     if (op.lease != 0 && !leases_.count(op.lease)) {
       result.outcome = Outcome::kRefused;
       return result;
@@ -912,9 +915,9 @@
     result.revision = revision_;
     return result;
   }
-  if (!request.ops.empty()) {
+  if (!request.mutations.empty()) {
     ++revision_;
-    for (const StateOp& op : request.ops) ApplyOp(op);
+    for (const Mutation& op : request.mutations) ApplyOp(op);
   }
   result.outcome = Outcome::kOk;
   result.revision = revision_;
@@ -930,27 +933,29 @@
                            settings_.state_txn_ops};
   const auto most = static_cast<size_t>(limits.txn_ops);
   bool large = false;
-  for (const StateOp& op : request.ops) {
+  for (const Mutation& op : request.mutations) {
     if (static_cast<double>(op.value.size()) <= limits.value_kb * 1024)
       continue;
     large = true;
     if (++too_large_[op.key + op.value] == 8)
       Break("a value that is never taken is tried again and again: " + op.key);
   }
-  if (request.ops.size() > most || request.guards.size() > 4 * most)
+  if (request.mutations.size() > most ||
+      request.preconditions.size() > 4 * most)
     Break("a transaction over the state service's limits");
   if (large) {
     ++refused_for_size_;
     return StateRefusal::kTooLarge;
   }
-  if (!options_.rate_limits || request.ops.empty()) return StateRefusal::kNone;
+  if (!options_.rate_limits || request.mutations.empty())
+    return StateRefusal::kNone;
   change_tokens_ =
       std::min(limits.write_rps,
                change_tokens_ + (now_ - change_tokens_at_) * limits.write_rps);
   change_tokens_at_ = now_;
-  change_tokens_ -= static_cast<double>(request.ops.size());
+  change_tokens_ -= static_cast<double>(request.mutations.size());
   if (change_tokens_ >= 0) return StateRefusal::kNone;
-  change_tokens_ += static_cast<double>(request.ops.size());
+  change_tokens_ += static_cast<double>(request.mutations.size());
   ++refused_for_rate_;
   return StateRefusal::kTooManyChanges;
 }
@@ -1217,8 +1222,8 @@
               (worker.spot ? "1" : "0")];
 }
 
-void World::NewSession(Worker& worker) {
-  ++worker.session;
+void World::OnNewIncarnation(Worker& worker) {
+  ++worker.incarnation;
   worker.sequence = 0;
   worker.lease_from = now_;
   worker.in_flight = false;
@@ -1242,52 +1247,54 @@
   if (now_ < worker.hung_until) return;
   if (now_ - worker.lease_from > settings_.lease_s) {
     LoseAll(worker);
-    NewSession(worker);
+    OnNewIncarnation(worker);
   }
-  if (worker.in_flight && now_ - worker.last_report > 4) {
+  if (worker.in_flight && now_ - worker.last_heartbeat_at > 4) {
     worker.in_flight = false;
     worker.target = (worker.target + 1) % options_.nodes;
     worker.next_report = now_ + 1;
   }
   if (worker.in_flight) return;
   if (now_ >= worker.next_report ||
-      (worker.changed && now_ - worker.last_report > 0.5))
-    SendReport(worker);
-}
-
-WorkerReport World::MakeReport(Worker& worker) {
-  WorkerReport report;
-  report.machine = worker.name;
-  report.address = worker.name + ":1";
-  report.type = worker.type;
-  report.zone = worker.zone;
-  report.spot = worker.spot;
-  report.session = worker.session;
-  report.sequence = ++worker.sequence;
-  report.token = worker.token;
-  if (worker.taken_at > now_) report.notice_s = worker.taken_at - now_;
+      (worker.changed && now_ - worker.last_heartbeat_at > 0.5))
+    SendHeartbeat(worker);
+}
+
+Heartbeat World::MakeHeartbeat(Worker& worker) {
+  Heartbeat heartbeat;
+  heartbeat.machine = worker.name;
+  heartbeat.address = worker.name + ":1";
+  heartbeat.type = worker.type;
+  heartbeat.zone = worker.zone;
+  heartbeat.spot = worker.spot;
+  heartbeat.incarnation = worker.incarnation;
+  heartbeat.sequence = ++worker.sequence;
+  heartbeat.fencing_token = worker.fencing_token;
+  if (worker.taken_at > now_)
+    heartbeat.preemption_notice_s = worker.taken_at - now_;
   for (const auto& [key, task] : worker.tasks)
-    report.tasks.push_back({task.job, task.task, task.attempt, task.state,
-                            task.reason, task.saved});
-  return report;
+    heartbeat.tasks.push_back({task.job, task.task, task.attempt, task.state,
+                               task.reason, task.saved});
+  return heartbeat;
 }
 
-void World::SendReport(Worker& worker) {
+void World::SendHeartbeat(Worker& worker) {
   worker.in_flight = true;
   worker.changed = false;
-  worker.last_report = now_;
+  worker.last_heartbeat_at = now_;
   worker.next_report = now_ + settings_.report_s * (0.75 + 0.5 * Random());
   const uint64_t request = next_request_++;
   worker.request = request;
-  const WorkerReport report = MakeReport(worker);
+  const Heartbeat heartbeat = MakeHeartbeat(worker);
   const int node = worker.target;
-  reports_[request] = {worker.name, node, report.session, report.sequence,
-                       now_};
-  const auto deliver = [this, node, request, report] {
+  reports_[request] = {worker.name, node, heartbeat.incarnation,
+                       heartbeat.sequence, now_};
+  const auto deliver = [this, node, request, heartbeat] {
     if (!nodes_[node]->up) return;
     ++cost_.reports;
-    const auto input = [request, report](Controller& c, Controller::Time time) {
-      return c.Report(time, request, report);
+    const auto input = [request, heartbeat](Controller& c,
+                                            Controller::Time time) {
+      return c.OnHeartbeat(time, request, heartbeat);
     };
     Feed(node, nodes_[node]->life, input);
   };
@@ -1301,7 +1308,7 @@
   }
   if (now_ < worker.mute_until) return;
   if (now_ < copies_until_ && Random() < copies_share_)
-    copies_for_next_.emplace_back(request, report);
+    copies_for_next_.emplace_back(request, heartbeat);
   if (now_ < late_reports_until_ && Random() < late_reports_share_)
     After(2 + 1.5 * settings_.lease_s * Random(), deliver);
   if (Random() < options_.lose) return;
@@ -1325,8 +1332,8 @@
           ++late_launches_;
           // What the leader may not have known of yet: its look at the jobs may
           // be so old, and the answer on its way for so long.
-          if (now_ > user->second->told_cancelled + kLaunchLookS +
-                         kReportAnswerS + 0.5)
+          if (now_ > user->second->told_cancelled + kDispatchMaxCacheAgeS +
+                         kHeartbeatAnswerTimeoutS + 0.5)
             Break("ran_cancelled: " + command.job +
                   " is launched long after it was cancelled");
         }
@@ -1375,8 +1382,8 @@
   for (auto it = keys_.lower_bound(prefix);
        it != keys_.end() && it->first.compare(0, prefix.size(), prefix) == 0;
        ++it) {
-    ProgressRecord record;
-    if (!wire::ParseProgress(it->second.value, &record)) continue;
+    CompletionRecord record;
+    if (!wire::ParseCompletions(it->second.value, &record)) continue;
     const uint32_t first = record.first_task.value_or(0);
     if (task < first || (task - first) / 4 >= record.bits_hex.size()) continue;
     const std::string digit = record.bits_hex.substr((task - first) / 4, 1);
@@ -1610,7 +1617,7 @@
   After(2, [this, id] { CancelJob(id); });
 }
 
-void World::UserAnswer(const AnswerUser& answer) {
+void World::UserAnswer(const ClientResponse& answer) {
   auto it = asked_.find(answer.request);
   if (it == asked_.end() || it->second.answered) return;
   it->second.answered = true;
--- a/tests/world.h
+++ b/tests/world.h
@@ -91,10 +91,10 @@
       kMachineHangs,
       kMachineSick,  // fails every task
       kMachineDeaf,  // its reports arrive, answers and commands do not
-      kMachineBack,  // restarted at once, in a new session
+      kMachineBack,  // restarted at once, in a new incarnation
       kSpotWave,
       kLeaderCutFromWorkers,
-      kLeaderAlone,  // without state service and siblings, not without workers
+      kLeaderAlone,     // without state service and peers, not without workers
       kSiblingsRefuse,  // no note arrives
       kStateSlow,
       kZoneCut,      // nodes and workers of two zones can't reach each other
@@ -178,7 +178,7 @@
   struct Cost {
     double total_s = 0, most_s = 0;
     uint64_t reports = 0;
-    double PerReport() const {
+    double PerHeartbeat() const {
       return reports == 0 ? 0 : total_s / static_cast<double>(reports);
     }
   };
@@ -255,7 +255,7 @@
   StateResult Serve(const LeaseCreate& request);
   StateResult Serve(const LeaseRenew& request);
   bool StateDown(int node) const;
-  void ApplyOp(const StateOp& op);
+  void ApplyOp(const Mutation& op);
   void ExpireLeases();
   void AnswerWatchers();
   StateResult WatchAnswer(const StateWatch& watch) const;
@@ -272,15 +272,15 @@
   void Boot(const std::string& name);
   void Kill(const std::string& name);
   void WorkerLoop(const std::string& name);
-  void SendReport(Worker& worker);
-  WorkerReport MakeReport(Worker& worker);
+  void SendHeartbeat(Worker& worker);
+  Heartbeat MakeHeartbeat(Worker& worker);
   void Execute(Worker& worker, const std::vector<Command>& commands);
   void StartTask(Worker& worker, const Command& command);
   void TaskHasImage(const std::string& machine, const TaskKey& key,
                     uint64_t attempt);
   void EndTask(Worker& worker, SimTask& task, ExitReason reason);
   void LoseAll(Worker& worker);
-  void NewSession(Worker& worker);
+  void OnNewIncarnation(Worker& worker);
   bool WrittenDown(const std::string& job, uint32_t task) const;
   bool Reachable(int node, const Worker& worker) const;
 
@@ -288,7 +288,7 @@
   void SubmitJob(const std::string& id);
   void PollJob(const std::string& id);
   void CancelJob(const std::string& id);
-  void UserAnswer(const AnswerUser& answer);
+  void UserAnswer(const ClientResponse& answer);
   void Ask(int node, const std::string& id, int kind, double delay_s);
   void LookClosely(const std::string& id);
   void AskOddly();
@@ -306,7 +306,7 @@
   void AddServices();
   void AddLongArray();
   void AddBurst();
-  void CountMoves(const Rebalancer::Figures& moves);
+  void CountMoves(const Rebalancer::Statistics& moves);
   void Roll();
   // Whether the transaction is within the limits of now, and why not.
   StateRefusal OverLimits(const StateTransaction& request);
@@ -343,7 +343,7 @@
   double answers_lost_until_ = 0, answers_lost_share_ = 0;
   double late_reports_until_ = 0, late_reports_share_ = 0;
   double copies_until_ = 0, copies_share_ = 0;
-  std::vector<std::pair<uint64_t, WorkerReport>> copies_for_next_;
+  std::vector<std::pair<uint64_t, Heartbeat>> copies_for_next_;
   double cancel_at_end_until_ = 0, cancel_at_end_share_ = 0;
   double odd_until_ = 0, close_until_ = 0;
   int late_launches_ = 0, refused_odd_jobs_ = 0;
@@ -372,7 +372,7 @@
   struct AskedReport {
     std::string worker;
     int node = 0;
-    uint64_t session = 0, sequence = 0;
+    uint64_t incarnation = 0, sequence = 0;
     double sent = 0;
   };
   std::map<uint64_t, AskedReport> reports_;
@@ -388,7 +388,7 @@
   uint64_t moves_begun_ = 0, moves_finished_ = 0;
   double imbalance_ = 0, uneven_until_ = 0;
   std::map<int, double> imbalance_at_;  // by second
-  Rebalancer::Figures last_moves_;
+  Rebalancer::Statistics last_moves_;
   std::set<uint64_t> terms_seen_;
   ActionDigest digest_;
   LogSummary log_summary_;
--- a/tests/world_test.cc
+++ b/tests/world_test.cc
@@ -161,7 +161,7 @@
   };
   EXPECT_GT(unhealthy(Fault::kStateRefusesLeader), 50);
   EXPECT_EQ(unhealthy(Fault::kStateOutage), 0);
-  // Its siblings' notes may be back a moment before the state service is.
+  // Its peers' notes may be back a moment before the state service is.
   EXPECT_LE(unhealthy(Fault::kLeaderAlone), 5);
   EXPECT_EQ(unhealthy(Fault::kStateSlow), 0);
 }
