--- /dev/null
+++ b/src/base/parse_error.h
@@ -0,0 +1,28 @@
+// The error of reading text from outside: which field is wrong, and why.
+#pragma once
+
+#include <string>
+#include <tl/expected.hpp>
+#include <utility>
+
+namespace sorrelwood {
+
+struct ParseError {
+  std::string field;   // empty: the text as a whole
+  std::string reason;  // "is missing", "must be a number", ...
+
+  // One line for users and logs.
+  std::string Message() const {
+    return field.empty() ? reason : field + " " + reason;
+  }
+};
+
+template <typename Value>
+using ParseResult = tl::expected<Value, ParseError>;
+
+inline tl::unexpected<ParseError> MakeParseError(std::string field,
+                                                 std::string reason) {
+  return tl::unexpected(ParseError{std::move(field), std::move(reason)});
+}
+
+}  // namespace sorrelwood
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -34,7 +34,7 @@
 CloudClient::CloudClient(const std::string& address, double timeout_s)
     : http_(address, timeout_s) {}
 
-CloudResult CloudClient::Catalog(const CloudCatalog& catalog) {
+CloudResult CloudClient::Catalog(const FetchCatalog& catalog) {
   CloudResult result;
   result.id = catalog.id;
   const HttpAnswer answer = http_.Get("/catalog");
@@ -45,7 +45,7 @@
   return result;
 }
 
-CloudResult CloudClient::Rent(const CloudRent& rent) {
+CloudResult CloudClient::Rent(const ProvisionMachines& rent) {
   CloudResult result;
   result.id = rent.id;
   if (TooLate(rent.not_after, &result)) return result;
@@ -60,7 +60,7 @@
   return result;
 }
 
-CloudResult CloudClient::Release(const CloudRelease& release) {
+CloudResult CloudClient::Release(const ReleaseMachines& release) {
   CloudResult result;
   result.id = release.id;
   if (TooLate(release.not_after, &result)) return result;
@@ -71,7 +71,7 @@
   return result;
 }
 
-CloudResult CloudClient::List(const CloudList& list) {
+CloudResult CloudClient::List(const ListCloudMachines& list) {
   CloudResult result;
   result.id = list.id;
   std::string after;
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -12,10 +12,10 @@
  public:
   CloudClient(const std::string& address, double timeout_s);
 
-  CloudResult Catalog(const CloudCatalog& catalog);
-  CloudResult Rent(const CloudRent& rent);
-  CloudResult Release(const CloudRelease& release);
-  CloudResult List(const CloudList& list);
+  CloudResult Catalog(const FetchCatalog& catalog);
+  CloudResult Rent(const ProvisionMachines& rent);
+  CloudResult Release(const ReleaseMachines& release);
+  CloudResult List(const ListCloudMachines& list);
 
  private:
   HttpClient http_;
--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -298,9 +298,9 @@
       s->ignored.push_back(wrong);
   }
   const Section workers = cluster.Sub("workers");
-  s->report_s = workers.Number("report_s", 0.01, kMostSeconds);
-  s->lease_s = workers.Number("lease_s", 0.1, kMostSeconds);
-  s->cancel_s = workers.Number("cancel_s", 0.1, kMostSeconds);
+  s->heartbeat_interval_s = workers.Number("report_s", 0.01, kMostSeconds);
+  s->worker_lease_s = workers.Number("lease_s", 0.1, kMostSeconds);
+  s->cancel_deadline_s = workers.Number("cancel_s", 0.1, kMostSeconds);
   const Section state = cluster.Sub("state");
   s->state_rps = state.Number("rps", 0.1, kMostCount);
   s->state_write_rps = state.Number("write_rps", 0.1, kMostCount);
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "core/model/types.h"
+#include "core/model/settings.h"
 
 namespace sorrelwood {
 
--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -101,7 +101,7 @@
                    [&](const Team& t) { return t.name == spec.team; });
   if (team == settings_->teams.end()) return "unknown team " + spec.team;
   // An array may run a few tasks at a time; the others run all of them.
-  const double together = spec.shape == Shape::kArray ? 1 : spec.tasks;
+  const double together = spec.shape == JobShape::kArray ? 1 : spec.tasks;
   if (spec.cpus * together > team->cpus_max ||
       spec.gpus * together > team->gpus_max)
     return "the job needs more than the limit of team " + spec.team;
--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -23,10 +23,11 @@
   return it == types_.end() ? nullptr : &it->second;
 }
 
-void Autoscaler::Load(uint64_t term, const std::vector<RentRecord>& rents) {
+void Autoscaler::Load(uint64_t term,
+                      const std::vector<ProvisioningRecord>& rents) {
   term_ = term;
   next_rent_ = 0;
-  for (const RentRecord& record : rents) {
+  for (const ProvisioningRecord& record : rents) {
     OpenRent rent;
     rent.record = record;
     rent.recorded = true;
@@ -102,7 +103,8 @@
   if (machine->terminating) return;
   machine->terminating = true;
   returning_.insert(machine->name);
-  context_->Info("returning " + machine->name + ": " + why);
+  context_->Info("releasing machine",
+                 {{"machine", machine->name}, {"reason", why}});
 }
 
 void Autoscaler::SendReturns() {
@@ -225,7 +227,7 @@
     if (machine->from_earlier_term && !machine->listed &&
         sent > machine->rented_at + 2 * settings_->list_lag_s + kListMarginS &&
         context_->now - machine->last_contact_at >
-            kSilentHeartbeats * settings_->report_s) {
+            kSilentHeartbeats * settings_->heartbeat_interval_s) {
       Return(machine.get(), "it was not there any more");
       continue;
     }
@@ -233,7 +235,7 @@
     if (machine->unlisted_since == 0) machine->unlisted_since = context_->now;
     if (context_->now - machine->unlisted_since > lag &&
         context_->now - machine->last_contact_at >
-            kSilentHeartbeats * settings_->report_s)
+            kSilentHeartbeats * settings_->heartbeat_interval_s)
       Return(machine.get(), "it is no longer listed");
   }
 }
@@ -355,7 +357,7 @@
     Room room{machine->type, machine->zone, machine->spot, cpus,
               cpus * drain_s};
     for (const auto& [key, attempt] : machine->attempts) {
-      const Job* job = jobs_->Find(key.first);
+      const Job* job = jobs_->Find(key.job);
       if (!job) continue;
       const double left =
           jobs_->Estimate(job->spec()) -
@@ -541,7 +543,7 @@
   if (!unseen || !smallest) return needs;
   Placement::Headroom need;
   need.slots = kUnseenClassHeadroomMachines;
-  need.usual.spec.shape = Shape::kService;
+  need.usual.spec.shape = JobShape::kService;
   need.usual.spec.priority = Priority::kProduction;
   need.usual.spec.cpus = smallest->cpus;
   need.usual.spec.spread = true;
@@ -689,16 +691,18 @@
 }
 
 void Autoscaler::Begin(const Offer& offer, int count) {
-  RentRecord record;
+  ProvisioningRecord record;
   record.name =
       "r-" + std::to_string(term_) + "-" + std::to_string(++next_rent_);
   record.type = offer.type->name;
   record.zone = offer.zone;
   record.spot = offer.spot;
   record.count = count;
-  context_->Info("renting " + std::to_string(count) + " " +
-                 (offer.spot ? "spot " : "ordinary ") + record.type + " in " +
-                 record.zone);
+  context_->Info("provisioning machines",
+                 {{"count", count},
+                  {"type", record.type},
+                  {"zone", record.zone},
+                  {"spot", offer.spot ? "yes" : "no"}});
   OpenRent rent;
   rent.record = record;
   rent.began = context_->now;
@@ -706,7 +710,7 @@
   // The record comes before the call: guards against a machine that a
   // crash between the two would leave without an owner.
   writer_->Put(
-      keys::Rent(record.name), wire::EncodeRentRecord(record),
+      keys::Rent(record.name), wire::EncodeProvisioningRecord(record),
       {[this, name = record.name] {
          if (auto it = rents_.find(name); it != rents_.end())
            it->second.recorded = true;
@@ -762,7 +766,8 @@
         if (open.unsettled.empty())
           EndRent(name);
         else
-          writer_->Put(keys::Rent(name), wire::EncodeRentRecord(open.record));
+          writer_->Put(keys::Rent(name),
+                       wire::EncodeProvisioningRecord(open.record));
       });
 }
 
@@ -823,7 +828,7 @@
     up.push_back(machine.get());
     capacity += machine->type->cpus;
     for (const auto& [key, attempt] : machine->attempts)
-      if (const Job* job = jobs_->Find(key.first))
+      if (const Job* job = jobs_->Find(key.job))
         demand += Cores(job->spec(), *machine->type);
   }
   if (up.empty()) return;
@@ -875,9 +880,9 @@
     room -= needed;
     for (auto& [key, attempt] : machine->attempts) {
       attempt.stop = true;
-      attempt.stop_grace_s = jobs_->Find(key.first)->spec().save_s + 1;
+      attempt.stop_grace_s = jobs_->Find(key.job)->spec().save_s + 1;
     }
-    context_->Info("emptying " + machine->name);
+    context_->Info("draining machine", {{"machine", machine->name}});
   }
 }
 
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -36,7 +36,7 @@
   const MachineType* FindType(const std::string& name) const;
 
   // A new leader takes over the records of the one before.
-  void Load(uint64_t term, const std::vector<RentRecord>& rents);
+  void Load(uint64_t term, const std::vector<ProvisioningRecord>& rents);
   void Clear();
   // `dispatch_deadline`: when this leader's leave to act ends unless it is
   // renewed.
@@ -64,7 +64,7 @@
     }
   };
   struct OpenRent {
-    RentRecord record;
+    ProvisioningRecord record;
     bool recorded = false, calling = false;
     double next_call = 0, began = 0;
     std::set<std::string> unsettled;
--- a/src/core/balance/machine_sets.h
+++ b/src/core/balance/machine_sets.h
@@ -12,7 +12,8 @@
 #include <vector>
 
 #include "core/machines/machine_table.h"
-#include "core/model/types.h"
+#include "core/model/job.h"
+#include "core/model/machine_type.h"
 
 namespace sorrelwood {
 
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -90,7 +90,7 @@
     if (!LoadBounds::Counts(*machine) || !speeds_.IsSlow(name)) continue;
     for (auto& [key, attempt] : machine->attempts) {
       if (!WorthMoving(key, attempt)) continue;
-      const Job* job = jobs_->Find(key.first);
+      const Job* job = jobs_->Find(key.job);
       if (Machine* to = ChooseTarget(*job, *machine))
         Begin(key, &attempt, machine.get(), to, MoveReason::kSlow);
     }
@@ -112,7 +112,7 @@
       team_excess = &it->second;
     }
     if (!WorthMoving(key, attempt)) continue;
-    const Job* job = jobs_->Find(key.first);
+    const Job* job = jobs_->Find(key.job);
     Machine* to = ChooseTarget(*job, *machine);
     if (!to) continue;
     Begin(key, &attempt, machine, to, MoveReason::kCrowded);
@@ -121,7 +121,7 @@
   }
 }
 
-bool Rebalancer::WorthMoving(const TaskKey& key,
+bool Rebalancer::WorthMoving(const TaskId& key,
                              const TaskAttempt& attempt) const {
   const JobSpec& spec = attempt.record->spec;
   if (attempt.phase != AttemptPhase::kConfirmed ||
@@ -133,7 +133,7 @@
                                 ? attempt.stable && ran_s > kMoveAfterS
                                 : placement_->IsPreemptible(attempt);
   if (!loses_little) return false;
-  const Job* job = jobs_->Find(key.first);
+  const Job* job = jobs_->Find(key.job);
   if (!job || job->finishing || job->failing()) return false;
   if (jobs_->Estimate(spec) - ran_s < kMoveLeastLeftS) return false;
   const auto moved = moved_at_.find(key);
@@ -178,27 +178,28 @@
   return nullptr;
 }
 
-void Rebalancer::Begin(const TaskKey& key, TaskAttempt* attempt, Machine* from,
+void Rebalancer::Begin(const TaskId& key, TaskAttempt* attempt, Machine* from,
                        Machine* to, MoveReason reason) {
   const JobSpec& spec = attempt->record->spec;
-  if (!budget_.Allows(spec.team, key.first, context_->now)) return;
-  budget_.Spend(spec.team, key.first, context_->now);
+  if (!budget_.Allows(spec.team, key.job, context_->now)) return;
+  budget_.Spend(spec.team, key.job, context_->now);
   Move move{from->name,    to->name,           attempt->cpus,
             attempt->gpus, attempt->memory_gb, context_->now};
   to->ReserveCapacity(move.cpus, move.gpus, move.memory_gb);
   moves_[key] = move;
   moved_at_[key] = context_->now;
-  if (Job* job = jobs_->Find(key.first))
-    job->moved_ran_s[key.second] =
+  if (Job* job = jobs_->Find(key.job))
+    job->moved_ran_s[key.task] =
         attempt->ran_before_s + context_->now - attempt->running_since;
   ++begun_;
   attempt->stop = true;
   attempt->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
-  char imbalance[16];
-  std::snprintf(imbalance, sizeof(imbalance), "%.0f%%", imbalance_ * 100);
-  context_->Info("moving " + key.first + "/" + std::to_string(key.second) +
-                 " from " + from->name + " to " + to->name + ": " +
-                 ToString(reason) + ", imbalance " + imbalance);
+  context_->Info("moving task", {{"job", key.job},
+                                 {"task", key.task},
+                                 {"from", from->name},
+                                 {"to", to->name},
+                                 {"reason", ToString(reason)},
+                                 {"imbalance", imbalance_}});
 }
 
 void Rebalancer::ReleaseCapacity(const Move& move) {
@@ -209,9 +210,10 @@
 void Rebalancer::GiveUp(Moves::iterator move, MoveFailure failure) {
   ReleaseCapacity(move->second);
   ++given_up_[failure];
-  context_->Info("giving up the move of " + move->first.first + "/" +
-                 std::to_string(move->first.second) + " to " + move->second.to +
-                 ": " + ToString(failure));
+  context_->Info("move given up", {{"job", move->first.job},
+                                   {"task", move->first.task},
+                                   {"to", move->second.to},
+                                   {"reason", ToString(failure)}});
   moves_.erase(move);
 }
 
@@ -257,7 +259,7 @@
 void Rebalancer::OnJobEnded(const std::string& job) {
   speeds_.ForgetJob(job);
   auto it = moves_.lower_bound({job, 0});
-  while (it != moves_.end() && it->first.first == job) {
+  while (it != moves_.end() && it->first.job == job) {
     const auto move = it++;
     GiveUp(move, MoveFailure::kJobEnded);
   }
--- a/src/core/balance/rebalancer.h
+++ b/src/core/balance/rebalancer.h
@@ -79,7 +79,7 @@
     double cpus = 0, gpus = 0, memory_gb = 0;  // held at `to`
     double began_at = 0;
   };
-  using Moves = std::map<TaskKey, Move>;
+  using Moves = std::map<TaskId, Move>;
 
   bool MayMove();
   void MoveOffCrowded(const std::vector<CrowdedMachine>& crowded);
@@ -88,11 +88,11 @@
   // Moves tasks off the machine until `excess` is gone or nothing more can.
   void Relieve(CrowdedMachine* crowded);
   // Whether it loses little by a move and has long to go.
-  bool WorthMoving(const TaskKey& key, const TaskAttempt& attempt) const;
+  bool WorthMoving(const TaskId& key, const TaskAttempt& attempt) const;
   Machine* ChooseTarget(const Job& job, const Machine& from);
   bool CanTake(const Job& job, const Machine& target,
                const Machine& from) const;
-  void Begin(const TaskKey& key, TaskAttempt* attempt, Machine* from,
+  void Begin(const TaskId& key, TaskAttempt* attempt, Machine* from,
              Machine* to, MoveReason reason);
   void GiveUp(Moves::iterator move, MoveFailure failure);
   void ReleaseCapacity(const Move& move);
@@ -109,7 +109,7 @@
   SpeedTracker speeds_;
   MachineSets targets_;
   Moves moves_;
-  std::map<TaskKey, double> moved_at_;
+  std::map<TaskId, double> moved_at_;
 
   double imbalance_ = 0;
   double uneven_since_ = 0;  // 0: it is within the margin
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -14,8 +14,8 @@
       limits_(settings_),
       job_cache_(&context_, static_cast<double>(settings_.peers.size() + 1) /
                                 (settings_.state_rps * kWatchShare)),
-      election_(&context_, &job_cache_, settings_.node, settings_.lease_s,
-                settings_.cancel_s),
+      election_(&context_, &job_cache_, settings_.node,
+                settings_.worker_lease_s, settings_.cancel_deadline_s),
       job_api_(&context_, &job_cache_, &limits_, &settings_),
       scheduler_(&context_, &job_cache_, &election_, &settings_, &limits_,
                  policy, incarnation),
@@ -39,7 +39,7 @@
   context_.wall = time.wall;
   context_.work = 0;
   if (began_ && gap_s > kProcessPauseThresholdS) {
-    context_.Info("stood still for " + std::to_string(gap_s) + " s");
+    context_.Info("process was paused", {{"seconds", gap_s}});
     scheduler_.OnProcessPause(gap_s);
   }
   began_ = true;
--- a/src/core/controller/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -127,20 +127,21 @@
 }
 
 void Scheduler::Activate(const StateResult& rents) {
-  std::vector<RentRecord> records;
+  std::vector<ProvisioningRecord> records;
   for (const KeyValue& item : rents.items) {
     writer_.CacheVersion(item.key, item.version);
-    RentRecord record;
-    if (wire::ParseRentRecord(item.value, &record)) records.push_back(record);
+    ProvisioningRecord record;
+    if (wire::ParseProvisioningRecord(item.value, &record))
+      records.push_back(record);
   }
   active_ = true;
   autoscaler_.Load(election_->term(), records);
   for (const auto& [id, known] : job_cache_->live()) OnJobLive(id);
   completions_.FinishLoading();
   unreconciled_.Recount(machines_.all());
-  context_->Info("took over " + std::to_string(jobs_.all().size()) +
-                 " jobs and " + std::to_string(machines_.all().size()) +
-                 " machines");
+  context_->Info(
+      "failover recovery complete",
+      {{"jobs", jobs_.all().size()}, {"machines", machines_.all().size()}});
 }
 
 void Scheduler::OnJobLive(const std::string& id) {
@@ -152,9 +153,11 @@
   Job* job =
       jobs_.Add(known->job, known->version, from_earlier_term, context_->now);
   if (context_->debug)
-    context_->Debug("new job " + id + " of " + job->spec().job_class + ", " +
-                    std::to_string(job->spec().tasks) + " tasks, image " +
-                    job->spec().image + ", team " + job->spec().team);
+    context_->Debug("new job", {{"job", id},
+                                {"class", job->spec().job_class},
+                                {"tasks", job->spec().tasks},
+                                {"image", job->spec().image},
+                                {"team", job->spec().team}});
   next_rank_ = 0;  // with the next tick: a takeover brings hundreds at once
   completions_.Restore(job);
   if (job->done.size() == job->spec().tasks) completed_jobs_.push_back(id);
@@ -302,13 +305,13 @@
         context_->now + std::max(0.0, *heartbeat.preemption_notice_s);
     OnPreemptionNotice(machine);
   }
-  std::set<TaskKey> present;
+  std::set<TaskId> present;
   unreconciled_.ForgetUnknownTasks(*machine);
   for (const TaskStatus& task : heartbeat.tasks) {
     present.insert({task.job, task.task});
     ApplyTaskStatus(machine, task);
   }
-  std::vector<TaskKey> missing;
+  std::vector<TaskId> missing;
   for (const auto& [key, attempt] : machine->attempts) {
     if (present.count(key)) continue;
     // Proof of absence: the report was sent after the one that the launch
@@ -324,7 +327,7 @@
     const bool ended = attempt.phase == AttemptPhase::kConfirmed && !direct;
     if (answer_dropped || ended) missing.push_back(key);
   }
-  for (const TaskKey& key : missing) {
+  for (const TaskId& key : missing) {
     auto it = machine->attempts.find(key);
     if (it != machine->attempts.end()) RemoveAttempt(machine, it);
   }
@@ -357,7 +360,7 @@
 }
 
 void Scheduler::ApplyTaskStatus(Machine* machine, const TaskStatus& task) {
-  const TaskKey key{task.job, task.task};
+  const TaskId key{task.job, task.task};
   auto it = machine->attempts.find(key);
   TaskAttempt* attempt =
       it == machine->attempts.end() || it->second.number != task.attempt
@@ -376,8 +379,9 @@
     attempt->running_since = context_->now;
     machine->FinishFetch(attempt->record->spec.image);
     if (context_->debug)
-      context_->Debug("running " + task.job + "/" + std::to_string(task.task) +
-                      " on " + machine->name);
+      context_->Debug(
+          "task running",
+          {{"job", task.job}, {"task", task.task}, {"machine", machine->name}});
     if (Job* job = jobs_.Find(task.job)) waiting_.LearnStart(job, *machine);
   }
   attempt->state = task.state;
@@ -391,7 +395,7 @@
 // A task that an earlier leader placed, or that nobody should have.
 void Scheduler::AdoptAttempt(Machine* machine, const TaskStatus& task) {
   Job* job = jobs_.Find(task.job);
-  const TaskKey key{task.job, task.task};
+  const TaskId key{task.job, task.task};
   if (!job || task.task >= job->spec().tasks) {
     // Of a job that has ended; what it takes of a limit is not known.
     unreconciled_.AddUnknownTask(*machine);
@@ -429,7 +433,7 @@
 
 void Scheduler::ApplyTaskExit(Machine* machine, const TaskStatus& task,
                               TaskAttempt* attempt) {
-  const TaskKey key{task.job, task.task};
+  const TaskId key{task.job, task.task};
   Job* job = jobs_.Find(task.job);
   const bool waiting = attempt && attempt->requeue_for_baseline;
   const bool rented = attempt && attempt->requeue_on_rented;
@@ -481,17 +485,17 @@
 }
 
 void Scheduler::RemoveAttempt(Machine* machine,
-                              std::map<TaskKey, TaskAttempt>::iterator it) {
-  const TaskKey key = it->first;
+                              std::map<TaskId, TaskAttempt>::iterator it) {
+  const TaskId key = it->first;
   const TaskAttempt attempt = machine->RemoveAttempt(it);
-  Job* job = jobs_.Find(key.first);
+  Job* job = jobs_.Find(key.job);
   if (!job || !attempt.job_active) {
     jobs_.AddOrphanedUsage(attempt.record->spec.team, -attempt.cpus,
                            -attempt.gpus);
     return;
   }
-  jobs_.Unplace(job, key.second, machine->zone);
-  rebalancer_.Released(job, key.second, election_->term());
+  jobs_.Unplace(job, key.task, machine->zone);
+  rebalancer_.Released(job, key.task, election_->term());
 }
 
 void Scheduler::RemovePlannedAttempts(Machine* machine) {
@@ -556,8 +560,9 @@
 void Scheduler::OnTaskFailed(Machine* machine, Job* job, uint32_t task) {
   const bool proven = job->succeeded();
   if (context_->debug)
-    context_->Debug("failed " + job->id() + "/" + std::to_string(task) +
-                    " on " + machine->name);
+    context_->Debug(
+        "task failed",
+        {{"job", job->id()}, {"task", task}, {"machine", machine->name}});
   job->last_error_at = context_->now;
   const bool news = job->error_machines.insert(machine->name).second;
   if (job->failing() && context_->now >= job->retry_at) {
@@ -568,7 +573,7 @@
   }
   if (news && job->broken() &&
       job->error_machines.size() == kBrokenJobMachines) {
-    context_->Info(job->id() + " fails on every machine");
+    context_->Info("job fails on every machine", {{"job", job->id()}});
     // Those that were set aside for it are taken back.
     for (const std::string& name : job->error_machines)
       if (Machine* other = machines_.Find(name)) ReassessQuarantine(other);
@@ -597,13 +602,14 @@
   if (proven >= kQuarantineErrors) machine->suspect_until = 0;
   if (sick == machine->quarantined) return;
   machine->quarantined = sick;
-  context_->Info(sick ? "setting " + machine->name + " aside: its tasks fail"
-                      : "taking " + machine->name + " back: the jobs failed");
+  context_->Info(sick ? "machine quarantined: its tasks fail"
+                      : "machine back from quarantine: the jobs were at fault",
+                 {{"machine", machine->name}});
   if (sick && proven < kQuarantineErrors)
     machine->suspect_until = context_->now + kSuspectMachineAvoidS;
   if (proven < kQuarantineErrors) return;
   for (auto& [key, attempt] : machine->attempts) {
-    const Job* other = jobs_.Find(key.first);
+    const Job* other = jobs_.Find(key.job);
     attempt.stop = true;
     attempt.stop_grace_s = other ? other->spec().save_s : 0;
   }
@@ -614,7 +620,7 @@
 void Scheduler::OnPreemptionNotice(Machine* machine) {
   const double left = machine->preemption_deadline - context_->now;
   for (auto& [key, attempt] : machine->attempts) {
-    const Job* job = jobs_.Find(key.first);
+    const Job* job = jobs_.Find(key.job);
     // A replica goes once there is a place for it: ReplicaManager.
     if (!job || job->spec().IsService()) continue;
     const double ran =
@@ -634,7 +640,7 @@
                                                const Heartbeat& heartbeat) {
   std::vector<Command> orders;
   for (const TaskStatus& task : heartbeat.tasks) {
-    const TaskKey key{task.job, task.task};
+    const TaskId key{task.job, task.task};
     Job* job = jobs_.Find(task.job);
     if (task.state == TaskState::kExited) {
       // A completion is cleared only once it is written down, or the job has
@@ -672,10 +678,11 @@
     attempt.dispatched_sequence = heartbeat.sequence;
     attempt.dispatched_at = context_->now;
     if (context_->debug)
-      context_->Debug("start " + key.first + "/" + std::to_string(key.second) +
-                      " on " + machine->name);
+      context_->Debug(
+          "starting task",
+          {{"job", key.job}, {"task", key.task}, {"machine", machine->name}});
     orders.push_back(
-        {CommandKind::kStart, key.first, key.second, attempt.number, 0});
+        {CommandKind::kStart, key.job, key.task, attempt.number, 0});
   }
   return orders;
 }
@@ -804,13 +811,12 @@
       pending += job->pending.size() * job->spec().cpus;
       backlog_s = job->team_backlog_s;
     }
-    char line[200];
-    snprintf(line, sizeof(line),
-             "team %s uses %.0f of %.0f CPUs, %.0f more are pending in %.0f "
-             "jobs, %.0f s of work at its limit",
-             team.name.c_str(), jobs_.use(team.name).cpus, team.cpus_max,
-             pending, jobs, backlog_s);
-    context_->Debug(line);
+    context_->Debug("team usage", {{"team", team.name},
+                                   {"cpus_used", jobs_.use(team.name).cpus},
+                                   {"cpus_max", team.cpus_max},
+                                   {"cpus_pending", pending},
+                                   {"jobs", jobs},
+                                   {"backlog_s", backlog_s}});
   }
 }
 
--- a/src/core/controller/scheduler.h
+++ b/src/core/controller/scheduler.h
@@ -73,7 +73,7 @@
                      TaskAttempt* attempt);
   void AdoptAttempt(Machine* machine, const TaskStatus& task);
   void RemoveAttempt(Machine* machine,
-                     std::map<TaskKey, TaskAttempt>::iterator it);
+                     std::map<TaskId, TaskAttempt>::iterator it);
   // What was chosen for the machine and not sent goes elsewhere.
   void RemovePlannedAttempts(Machine* machine);
   void RemoveAllAttempts(Machine* machine);
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -111,7 +111,7 @@
   if (known != live_.end() && known->second.version >= version) return;
   auto job = std::make_shared<LiveJob>();
   if (!wire::ParseLiveJob(value, job.get()) || job->spec.id != id) {
-    context_->Error("job record " + id + " can't be read");
+    context_->Error("job record can't be read", {{"job", id}});
     return;
   }
   ApplyLiveJob(id, version, std::move(job));
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -10,15 +10,16 @@
 
 LeaderElection::LeaderElection(Context* context, JobCache* job_cache,
                                std::string node, double lease_s,
-                               double cancel_s)
+                               double cancel_deadline_s)
     : context_(context),
       job_cache_(job_cache),
       node_(std::move(node)),
       // A worker's tasks outlive the last answer by its lease, and must be gone
-      // within cancel_s of a cancellation that this leader did not see.
+      // within cancel_deadline_s of a cancellation that this leader did not
+      // see.
       worker_lease_renewal_window_s_(std::max(
-          kLeaderLeaseS,
-          cancel_s - lease_s * (1 + kClockDrift) - kWorkerLeaseMarginS)) {}
+          kLeaderLeaseS, cancel_deadline_s - lease_s * (1 + kClockDrift) -
+                             kWorkerLeaseMarginS)) {}
 
 Precondition LeaderElection::leader_precondition() const {
   return Precondition{keys::kLeader, version_};
@@ -44,8 +45,7 @@
   leading_ = false;
   lease_ = 0;
   retry_at_ = context_->now + kElectionRetryS;
-  context_->Info("no longer leader of term " + std::to_string(term_) + ": " +
-                 why);
+  context_->Info("leadership lost", {{"term", term_}, {"reason", why}});
   if (on_leadership_lost) on_leadership_lost();
 }
 
@@ -131,7 +131,7 @@
         if (got.outcome == Outcome::kOk && !got.items.empty()) {
           version = got.items[0].version;
           if (!wire::ParseTerm(got.items[0].value, &term)) {
-            context_->Error("the term record can't be read");
+            context_->Error("term record can't be read");
             electing_ = false;
             retry_at_ = context_->now + 1;
             return;
@@ -166,7 +166,7 @@
               next_renewal_ = context_->now;
               renewing_ = renewal_refused_ = false;
               job_cache_->ApplyLeader(version_, record, result.revision);
-              context_->Info("leader of term " + std::to_string(term_));
+              context_->Info("leadership acquired", {{"term", term_}});
               if (on_leadership_acquired) on_leadership_acquired();
             });
       });
--- a/src/core/coordination/leader_election.h
+++ b/src/core/coordination/leader_election.h
@@ -12,7 +12,7 @@
 class LeaderElection {
  public:
   LeaderElection(Context* context, JobCache* job_cache, std::string node,
-                 double lease_s, double cancel_s);
+                 double lease_s, double cancel_deadline_s);
 
   void Tick();
   void ObserveTerm(uint64_t term);  // from a peer or a worker
--- a/src/core/coordination/state_limits.h
+++ b/src/core/coordination/state_limits.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 
 #include "core/engine/actions.h"
-#include "core/model/types.h"
+#include "core/model/settings.h"
 
 namespace sorrelwood {
 
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -154,8 +154,8 @@
     Queue(key, std::move(entry));
     return;
   }
-  context_->Error("the state service takes no " +
-                  std::to_string(entry.op.value.size()) + " bytes at " + key);
+  context_->Error("value over the state service's limit",
+                  {{"key", key}, {"bytes", entry.op.value.size()}});
   if (entry.options.too_large) entry.options.too_large();
 }
 
--- a/src/core/engine/actions.h
+++ b/src/core/engine/actions.h
@@ -7,7 +7,11 @@
 #include <variant>
 #include <vector>
 
-#include "core/model/types.h"
+#include "core/engine/log_event.h"
+#include "core/model/heartbeat.h"
+#include "core/model/machine_type.h"
+#include "core/model/peer_status.h"
+#include "core/model/stored_records.h"
 
 namespace sorrelwood {
 
@@ -59,25 +63,25 @@
   uint64_t lease = 0;
 };
 
-struct CloudCatalog {
+struct FetchCatalog {
   uint64_t id = 0;
 };
 // What changes the fleet must leave before `not_after` (steady clock, s): after
 // it another leader may act, and a process may stand still between deciding and
 // sending. Later it is not sent.
-struct CloudRent {
+struct ProvisionMachines {
   uint64_t id = 0;
-  RentRecord rent;
+  ProvisioningRecord rent;
   double not_after = std::numeric_limits<double>::infinity();
 };
-struct CloudRelease {
+struct ReleaseMachines {
   uint64_t id = 0;
   std::vector<std::string> machines;
   double not_after = std::numeric_limits<double>::infinity();
 };
 // All pages of the machine list, with a pause between two: each page counts
 // against the cloud's rate.
-struct CloudList {
+struct ListCloudMachines {
   uint64_t id = 0;
   double page_pause_s = 0;
 };
@@ -107,16 +111,11 @@
   PeerStatus note;
 };
 
-struct LogLine {
-  enum Level { kDebug, kInfo, kError } level = kInfo;
-  std::string text;
-};
-
 using Action =
     std::variant<StateTransaction, StateGet, StateList, StateWatch, LeaseCreate,
-                 LeaseRenew, LeaseEnd, CloudCatalog, CloudRent, CloudRelease,
-                 CloudList, PushedCommands, ClientResponse, HeartbeatResponse,
-                 SendPeerStatus, LogLine>;
+                 LeaseRenew, LeaseEnd, FetchCatalog, ProvisionMachines,
+                 ReleaseMachines, ListCloudMachines, PushedCommands, ClientResponse,
+                 HeartbeatResponse, SendPeerStatus, LogEvent>;
 using Actions = std::vector<Action>;
 
 // --- What comes back
--- a/src/core/engine/context.h
+++ b/src/core/engine/context.h
@@ -53,19 +53,19 @@
     out.push_back(LeaseRenew{Expect(std::move(done)), lease});
   }
   void Catalog(CloudCallback done) {
-    out.push_back(CloudCatalog{ExpectCloud(std::move(done))});
+    out.push_back(FetchCatalog{ExpectCloud(std::move(done))});
   }
-  void Rent(RentRecord rent, double not_after, CloudCallback done) {
-    out.push_back(
-        CloudRent{ExpectCloud(std::move(done)), std::move(rent), not_after});
+  void Rent(ProvisioningRecord rent, double not_after, CloudCallback done) {
+    out.push_back(ProvisionMachines{ExpectCloud(std::move(done)),
+                                    std::move(rent), not_after});
   }
   void Release(std::vector<std::string> machines, double not_after,
                CloudCallback done) {
-    out.push_back(CloudRelease{ExpectCloud(std::move(done)),
-                               std::move(machines), not_after});
+    out.push_back(ReleaseMachines{ExpectCloud(std::move(done)),
+                                  std::move(machines), not_after});
   }
   void ListMachines(double page_pause_s, CloudCallback done) {
-    out.push_back(CloudList{ExpectCloud(std::move(done)), page_pause_s});
+    out.push_back(ListCloudMachines{ExpectCloud(std::move(done)), page_pause_s});
   }
   void PushCommands(PushedCommands command, PushCallback done) {
     command.id = next_id_++;
@@ -73,14 +73,14 @@
     out.push_back(std::move(command));
   }
 
-  void Debug(std::string text) {
-    out.push_back(LogLine{LogLine::kDebug, std::move(text)});
+  void Debug(std::string message, LogFields fields = {}) {
+    Log(LogLevel::kDebug, std::move(message), std::move(fields));
   }
-  void Info(std::string text) {
-    out.push_back(LogLine{LogLine::kInfo, std::move(text)});
+  void Info(std::string message, LogFields fields = {}) {
+    Log(LogLevel::kInfo, std::move(message), std::move(fields));
   }
-  void Error(std::string text) {
-    out.push_back(LogLine{LogLine::kError, std::move(text)});
+  void Error(std::string message, LogFields fields = {}) {
+    Log(LogLevel::kError, std::move(message), std::move(fields));
   }
 
   void Deliver(const StateResult& result) {
@@ -107,6 +107,9 @@
   }
 
  private:
+  void Log(LogLevel level, std::string message, LogFields fields) {
+    out.push_back(LogEvent{level, std::move(message), std::move(fields)});
+  }
   uint64_t Expect(StateCallback done) {
     state_[next_id_] = std::move(done);
     return next_id_++;
--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -11,7 +11,9 @@
 
 #include "base/constants.h"
 #include "base/interval_set.h"
-#include "core/model/types.h"
+#include "core/model/job.h"
+#include "core/model/settings.h"
+#include "core/model/stored_records.h"
 
 namespace sorrelwood {
 
--- a/src/core/machines/machine_table.cc
+++ b/src/core/machines/machine_table.cc
@@ -40,7 +40,7 @@
   if (reservations == 0) reserved_cpus = reserved_gpus = reserved_memory = 0;
 }
 
-void Machine::AddAttempt(const TaskKey& key, TaskAttempt attempt) {
+void Machine::AddAttempt(const TaskId& key, TaskAttempt attempt) {
   AddTeamCpus(attempt.record->spec.team, attempt.cpus);
   cpus_used += attempt.cpus;
   gpus_used += attempt.gpus;
@@ -49,8 +49,7 @@
   attempts[key] = std::move(attempt);
 }
 
-TaskAttempt Machine::RemoveAttempt(
-    std::map<TaskKey, TaskAttempt>::iterator it) {
+TaskAttempt Machine::RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator it) {
   TaskAttempt attempt = std::move(it->second);
   attempts.erase(it);
   AddTeamCpus(attempt.record->spec.team, -attempt.cpus);
--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -9,14 +9,15 @@
 #include <utility>
 #include <vector>
 
-#include "core/model/types.h"
+#include "core/model/heartbeat.h"
+#include "core/model/job.h"
+#include "core/model/machine_type.h"
+#include "core/model/stored_records.h"
 
 namespace sorrelwood {
 
 struct Job;
 
-using TaskKey = std::pair<std::string, uint32_t>;  // job, task number
-
 enum class AttemptPhase {
   kPlanned,     // chosen, not told to anybody: may be taken back freely
   kDispatched,  // the launch left in an answer; it may or may not have arrived
@@ -95,9 +96,9 @@
   bool push_in_flight = false;
   int unanswered_pushes = 0;  // unanswered since the last answer
   double next_push = 0;
-  std::map<TaskKey, TaskAttempt> attempts;
+  std::map<TaskId, TaskAttempt> attempts;
   // Tasks that ended with `done` and stay until that is written down.
-  std::map<TaskKey, uint64_t> unrecorded_completions;
+  std::map<TaskId, uint64_t> unrecorded_completions;
   std::vector<std::string> images;    // most recently used last
   std::vector<std::string> fetching;  // images on their way there
   double cpus_used = 0, gpus_used = 0, memory_used = 0;
@@ -133,8 +134,8 @@
   void ReleaseCapacity(double cpus, double gpus, double memory_gb);
   bool HasReservations() const { return reservations > 0; }
   int reservations = 0;
-  void AddAttempt(const TaskKey& key, TaskAttempt attempt);
-  TaskAttempt RemoveAttempt(std::map<TaskKey, TaskAttempt>::iterator it);
+  void AddAttempt(const TaskId& key, TaskAttempt attempt);
+  TaskAttempt RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator it);
   bool HasImage(const std::string& image) const;
   void TouchImage(const std::string& image);
   // The image is there, or nothing waits for it any more.
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -94,7 +94,7 @@
 }
 
 bool Placement::IsReachable(const Machine& machine) const {
-  const double silence = kSilentHeartbeats * settings_->report_s;
+  const double silence = kSilentHeartbeats * settings_->heartbeat_interval_s;
   return !machine.unreachable &&
          context_->now - machine.last_heartbeat_at < silence &&
          context_->now - machine.last_delivery_proof_at < silence;
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -53,7 +53,7 @@
       if (attempt.stop || !attempt.job_active ||
           !attempt.record->spec.IsService())
         continue;
-      const Job* job = jobs_->Find(key.first);
+      const Job* job = jobs_->Find(key.job);
       if (!job) continue;
       if (left > kReplicaLastMoveS && !HasPlaceElsewhere(*job, *machine))
         continue;
--- a/src/core/scheduling/wait_predictor.h
+++ b/src/core/scheduling/wait_predictor.h
@@ -9,7 +9,7 @@
 #include <random>
 #include <vector>
 
-#include "core/model/types.h"
+#include "core/model/settings.h"
 
 namespace sorrelwood {
 
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -77,7 +77,7 @@
           attempt.ran_before_s + context_->now - attempt.running_since <
               policy_.speculation_s)
         continue;
-      Job* job = jobs_->Find(key.first);
+      Job* job = jobs_->Find(key.job);
       if (!job || job->spec().IsService()) continue;
       // Until the first fit all jobs wait.
       const auto wait = predictor_.Predict(ToVector(Observe(job->spec().cpus)));
--- a/src/core/workers/health_monitor.cc
+++ b/src/core/workers/health_monitor.cc
@@ -41,11 +41,12 @@
       unproved <= Lease() + Silence())
     return;
   machine->unreachable = true;
-  context_->Info(machine->name + " reports but nothing reaches it");
+  context_->Info("machine unreachable: heartbeats arrive, responses do not",
+                 {{"machine", machine->name}});
 }
 
 HealthMonitor::Census HealthMonitor::Count() {
-  const double soon = kFastResignHeartbeats * settings_->report_s;
+  const double soon = kFastResignHeartbeats * settings_->heartbeat_interval_s;
   Census census;
   for (const auto& [name, machine] : machines_->all()) {
     if (BlocksRecovery(*machine)) ++census.holding;
@@ -78,7 +79,7 @@
 }
 
 bool HealthMonitor::BlocksRecovery(const Machine& machine) const {
-  const double unshown = kFailoverHeartbeats * settings_->report_s +
+  const double unshown = kFailoverHeartbeats * settings_->heartbeat_interval_s +
                          kPushTimeoutS + kPushIntervalS / 2;
   return machine.from_earlier_term && machine.ever_reported &&
          !machine.terminating && machine.unanswered_pushes > 0 &&
@@ -112,7 +113,7 @@
   // Most show our token in their first two reports after a takeover.
   const bool stuck = machine->from_earlier_term &&
                      context_->now - term_started_at_ >
-                         kFailoverHeartbeats * settings_->report_s;
+                         kFailoverHeartbeats * settings_->heartbeat_interval_s;
   if ((stuck || quiet_s > Silence()) && !machine->address.empty() &&
       !machine->push_in_flight && !machine->terminating &&
       context_->now >= machine->next_push)
@@ -122,8 +123,9 @@
   // and would hold up every inherited job and count against every limit
   // for ever.
   if (machine->from_earlier_term && context_->now > EarlierTermTasksUntil()) {
-    context_->Info(machine->name +
-                   " has not shown our token: its tasks are gone");
+    context_->Info(
+        "fencing token not acknowledged in time: tasks presumed gone",
+        {{"machine", machine->name}});
     handlers_.forget_machine_contents(machine);
   }
   if (few_blocking && BlocksRecovery(*machine)) {
@@ -145,13 +147,13 @@
                              ? EarlierTermTasksUntil()
                              : machine->last_answered_at + Lease();
   if (context_->now > lost_at && !machine->attempts.empty()) {
-    context_->Info(machine->name +
-                   " has been out of reach for its lease: its tasks are gone");
+    context_->Info("worker lease expired: tasks presumed gone",
+                   {{"machine", machine->name}});
     handlers_.forget_machine_contents(machine);
   }
   const double long_lost_at =
       std::min(machine->last_delivery_proof_at, machine->last_heartbeat_at) +
-      Lease() + kUnreachableReleaseDelayS + 2 * settings_->lease_s;
+      Lease() + kUnreachableReleaseDelayS + 2 * settings_->worker_lease_s;
   if ((few_silent || !machine->identity_confirmed) &&
       (machine->unreachable || unheard))
     autoscaler_->Return(machine, "it does not hear us");
--- a/src/core/workers/health_monitor.h
+++ b/src/core/workers/health_monitor.h
@@ -55,8 +55,12 @@
     int holding = 0;   // hold up what was taken over
   };
 
-  double Silence() const { return kSilentHeartbeats * settings_->report_s; }
-  double Lease() const { return settings_->lease_s * (1 + kClockDrift) + 1; }
+  double Silence() const {
+    return kSilentHeartbeats * settings_->heartbeat_interval_s;
+  }
+  double Lease() const {
+    return settings_->worker_lease_s * (1 + kClockDrift) + 1;
+  }
   // Until then an earlier leader's answers may have kept a machine's tasks.
   double EarlierTermTasksUntil() const;
   Census Count();
--- a/src/peer/mesh.h
+++ b/src/peer/mesh.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model/types.h"
+#include "core/model/peer_status.h"
 
 namespace sorrelwood {
 
--- a/src/protocol/json.cc
+++ b/src/protocol/json.cc
@@ -109,16 +109,16 @@
   return "standard";
 }
 
-std::string ShapeName(Shape shape) {
+std::string ShapeName(JobShape shape) {
   switch (shape) {
-    case Shape::kArray: return "sweep";
-    case Shape::kService: return "daemon";
+    case JobShape::kArray: return "sweep";
+    case JobShape::kService: return "daemon";
   }
   return "sweep";
 }
 
-bool ParseShape(const std::string& name, Shape* shape) {
-  for (Shape s : {Shape::kArray, Shape::kService}) {
+bool ParseShape(const std::string& name, JobShape* shape) {
+  for (JobShape s : {JobShape::kArray, JobShape::kService}) {
     if (ShapeName(s) != name) continue;
     *shape = s;
     return true;
@@ -389,7 +389,7 @@
 // --- Cloud
 // ---------------------------------------------------------------------
 
-std::string EncodeRent(const RentRecord& rent) {
+std::string EncodeRent(const ProvisioningRecord& rent) {
   return Write({{"hire", rent.name},
                 {"build", rent.type},
                 {"room", rent.zone},
@@ -606,7 +606,7 @@
   return r.ok();
 }
 
-std::string EncodeRentRecord(const RentRecord& rent) {
+std::string EncodeProvisioningRecord(const ProvisioningRecord& rent) {
   return Write({{"name", rent.name},
                 {"type", rent.type},
                 {"zone", rent.zone},
@@ -616,7 +616,8 @@
                 {"machines", rent.machines}});
 }
 
-bool ParseRentRecord(const std::string& text, RentRecord* rent) {
+bool ParseProvisioningRecord(const std::string& text,
+                             ProvisioningRecord* rent) {
   const json object = Read(text);
   if (!object.is_object()) return false;
   Reader r(object);
--- a/src/protocol/json.h
+++ b/src/protocol/json.h
@@ -7,7 +7,10 @@
 #include <vector>
 
 #include "core/engine/actions.h"
-#include "core/model/types.h"
+#include "core/model/heartbeat.h"
+#include "core/model/job.h"
+#include "core/model/machine_type.h"
+#include "core/model/stored_records.h"
 
 namespace sorrelwood::wire {
 
@@ -33,7 +36,7 @@
 
 // --- Cloud
 // ---------------------------------------------------------------------
-std::string EncodeRent(const RentRecord& rent);
+std::string EncodeRent(const ProvisioningRecord& rent);
 std::string EncodeRelease(const std::vector<std::string>& machines);
 bool ParseCatalog(const std::string& body, std::vector<MachineType>* types);
 bool ParseMachineNames(const std::string& body,
@@ -62,8 +65,8 @@
 bool ParseLeader(const std::string& text, LeaderRecord* leader);
 std::string EncodeTerm(uint64_t term);
 bool ParseTerm(const std::string& text, uint64_t* term);
-std::string EncodeRentRecord(const RentRecord& rent);
-bool ParseRentRecord(const std::string& text, RentRecord* rent);
+std::string EncodeProvisioningRecord(const ProvisioningRecord& rent);
+bool ParseProvisioningRecord(const std::string& text, ProvisioningRecord* rent);
 std::string EncodeMachineRecord(const MachineRecord& machine);
 bool ParseMachineRecord(const std::string& text, MachineRecord* machine);
 std::string EncodeCompletions(const CompletionRecord& record);
--- a/src/server/app.cc
+++ b/src/server/app.cc
@@ -34,12 +34,18 @@
           retry_after_s};
 }
 
-void Log(const LogLine& line) {
-  switch (line.level) {
-    case LogLine::kDebug: spdlog::debug(line.text); break;
-    case LogLine::kInfo: spdlog::info(line.text); break;
-    case LogLine::kError: spdlog::error(line.text); break;
+spdlog::level::level_enum LevelOf(LogLevel level) {
+  switch (level) {
+    case LogLevel::kDebug: return spdlog::level::debug;
+    case LogLevel::kInfo: return spdlog::level::info;
+    case LogLevel::kError: return spdlog::level::err;
   }
+  return spdlog::level::info;
+}
+
+void Log(const LogEvent& event) {
+  const spdlog::level::level_enum level = LevelOf(event.level);
+  if (spdlog::should_log(level)) spdlog::log(level, FormatLogEvent(event));
 }
 
 }  // namespace
@@ -66,8 +72,8 @@
   const double total = static_cast<double>(limits.total);
   limits.workers = MostWorkers(settings_);
   limits.users = static_cast<size_t>(total * kUserConnections);
-  limits.worker_idle_s = settings_.lease_s;
-  limits.worker_stale_s = kSilentHeartbeats * settings_.report_s;
+  limits.worker_idle_s = settings_.worker_lease_s;
+  limits.worker_stale_s = kSilentHeartbeats * settings_.heartbeat_interval_s;
   limits.threads = MostThreads(settings_);
   spdlog::info(
       "up to {} connections: {} workers, {} users; {} requests at once",
@@ -170,11 +176,11 @@
           } else if constexpr (std::is_same_v<T, LeaseCreate> ||
                                std::is_same_v<T, LeaseRenew>) {
             renewal_lane_.Push(std::move(item));
-          } else if constexpr (std::is_same_v<T, CloudRent> ||
-                               std::is_same_v<T, CloudRelease>) {
+          } else if constexpr (std::is_same_v<T, ProvisionMachines> ||
+                               std::is_same_v<T, ReleaseMachines>) {
             cloud_lane_.Push(std::move(item));
-          } else if constexpr (std::is_same_v<T, CloudCatalog> ||
-                               std::is_same_v<T, CloudList>) {
+          } else if constexpr (std::is_same_v<T, FetchCatalog> ||
+                               std::is_same_v<T, ListCloudMachines>) {
             cloud_list_lane_.Push(std::move(item));
           } else if constexpr (std::is_same_v<T, PushedCommands>) {
             direct_lane_.Push(std::move(item));
@@ -186,7 +192,7 @@
                   {item.status, wire::EncodeHeartbeatResponse(item), 0});
           } else if constexpr (std::is_same_v<T, SendPeerStatus>) {
             for (auto& sender : senders_) sender->Post(item.note);
-          } else if constexpr (std::is_same_v<T, LogLine>) {
+          } else if constexpr (std::is_same_v<T, LogEvent>) {
             Log(item);
           }
         },
@@ -238,13 +244,13 @@
       CloudClient client(settings_.cloud_address, kCloudTimeoutS);
       for (;;) {
         const Action action = queue->Pop();
-        if (auto* catalog = std::get_if<CloudCatalog>(&action))
+        if (auto* catalog = std::get_if<FetchCatalog>(&action))
           deliver(client.Catalog(*catalog));
-        else if (auto* list = std::get_if<CloudList>(&action))
+        else if (auto* list = std::get_if<ListCloudMachines>(&action))
           deliver(client.List(*list));
-        else if (auto* rent = std::get_if<CloudRent>(&action))
+        else if (auto* rent = std::get_if<ProvisionMachines>(&action))
           deliver(client.Rent(*rent));
-        else if (auto* release = std::get_if<CloudRelease>(&action))
+        else if (auto* release = std::get_if<ReleaseMachines>(&action))
           deliver(client.Release(*release));
       }
     });
--- a/tests/action_digest.cc
+++ b/tests/action_digest.cc
@@ -8,7 +8,7 @@
 namespace sorrelwood::test {
 
 void ActionDigest::Add(int node, const Action& action) {
-  if (std::holds_alternative<LogLine>(action)) return;
+  if (std::holds_alternative<LogEvent>(action)) return;
   Count(node);
   Count(action.index());
   std::visit([this](const auto& item) { Take(item); }, action);
@@ -52,18 +52,18 @@
   Count(action.id);
   Count(action.lease);
 }
-void ActionDigest::Take(const CloudCatalog& action) { Count(action.id); }
-void ActionDigest::Take(const CloudRent& action) {
+void ActionDigest::Take(const FetchCatalog& action) { Count(action.id); }
+void ActionDigest::Take(const ProvisionMachines& action) {
   Count(action.id);
-  Text(wire::EncodeRentRecord(action.rent));
+  Text(wire::EncodeProvisioningRecord(action.rent));
   Number(action.not_after);
 }
-void ActionDigest::Take(const CloudRelease& action) {
+void ActionDigest::Take(const ReleaseMachines& action) {
   Count(action.id);
   Text(wire::EncodeRelease(action.machines));
   Number(action.not_after);
 }
-void ActionDigest::Take(const CloudList& action) { Count(action.id); }
+void ActionDigest::Take(const ListCloudMachines& action) { Count(action.id); }
 void ActionDigest::Take(const PushedCommands& action) {
   Count(action.id);
   Text(action.machine);
--- a/tests/action_digest.h
+++ b/tests/action_digest.h
@@ -31,15 +31,15 @@
   void Take(const LeaseCreate& action);
   void Take(const LeaseRenew& action);
   void Take(const LeaseEnd& action);
-  void Take(const CloudCatalog& action);
-  void Take(const CloudRent& action);
-  void Take(const CloudRelease& action);
-  void Take(const CloudList& action);
+  void Take(const FetchCatalog& action);
+  void Take(const ProvisionMachines& action);
+  void Take(const ReleaseMachines& action);
+  void Take(const ListCloudMachines& action);
   void Take(const PushedCommands& action);
   void Take(const ClientResponse& action);
   void Take(const HeartbeatResponse& action);
   void Take(const SendPeerStatus& action);
-  void Take(const LogLine&) {}  // LogSummary counts them
+  void Take(const LogEvent&) {}  // LogSummary counts them
 
   FnvHash hash_;
 };
--- a/tests/adapter_test.cc
+++ b/tests/adapter_test.cc
@@ -266,11 +266,11 @@
     return HttpReply{200, R"({"perches":["n-1"]})"};
   });
   CloudClient client(server.address(), 2);
-  CloudRelease release;
+  ReleaseMachines release;
   release.machines = {"n-1"};
   EXPECT_EQ(client.Release(release).outcome, Outcome::kOk);
   EXPECT_EQ(asked, 1);
-  CloudRent rent;
+  ProvisionMachines rent;
   rent.not_after = release.not_after = 0;  // long past
   EXPECT_TRUE(client.Release(release).too_late);
   EXPECT_TRUE(client.Rent(rent).too_late);
--- a/tests/load_spread_test.cc
+++ b/tests/load_spread_test.cc
@@ -140,7 +140,7 @@
     }
   }
   void CheckNothingRunsTwice() {
-    std::set<TaskKey> running;
+    std::set<TaskId> running;
     for (const auto& worker : workers_) {
       for (const TaskStatus& task : worker->tasks()) {
         if (task.state != TaskState::kRunning) continue;
--- a/tests/log_summary.cc
+++ b/tests/log_summary.cc
@@ -1,17 +1,20 @@
 #include "log_summary.h"
 
+#include <string>
+
 namespace sorrelwood::test {
 
-void LogSummary::Add(int node, const LogLine& line) {
-  switch (line.level) {
-    case LogLine::kDebug: ++counts_.debug; break;
-    case LogLine::kInfo: ++counts_.info; break;
-    case LogLine::kError: ++counts_.error; break;
+void LogSummary::Add(int node, const LogEvent& event) {
+  switch (event.level) {
+    case LogLevel::kDebug: ++counts_.debug; break;
+    case LogLevel::kInfo: ++counts_.info; break;
+    case LogLevel::kError: ++counts_.error; break;
   }
-  const size_t size = line.text.size();
+  const std::string text = FormatLogEvent(event);
+  const size_t size = text.size();
   texts_.Add(&node, sizeof(node));
   texts_.Add(&size, sizeof(size));
-  texts_.Add(line.text.data(), size);
+  texts_.Add(text.data(), size);
 }
 
 }  // namespace sorrelwood::test
--- a/tests/log_summary.h
+++ b/tests/log_summary.h
@@ -16,8 +16,8 @@
     uint64_t debug = 0, info = 0, error = 0;
   };
 
-  // Takes in one line, as the node `node` wrote it.
-  void Add(int node, const LogLine& line);
+  // Takes in one event, as the node `node` logged it.
+  void Add(int node, const LogEvent& event);
   const Counts& counts() const { return counts_; }
   uint64_t text_digest() const { return texts_.value(); }
 
--- a/tests/loopback/worker.cc
+++ b/tests/loopback/worker.cc
@@ -183,7 +183,7 @@
     changed_ = false;
     body = MakeHeartbeat().dump();
     incarnation = session_;
-    next_report_s_ = Now() + settings_.report_s;
+    next_report_s_ = Now() + settings_.heartbeat_interval_s;
   }
   const double sent_s = Now();
   Endpoint endpoint;
--- a/tests/loopback/worker.h
+++ b/tests/loopback/worker.h
@@ -20,7 +20,7 @@
 // What a worker needs to know of the cluster and its jobs.
 struct WorkerSettings {
   std::map<std::string, std::string> controllers;  // name -> address
-  double report_s = 0.5, lease_s = 6;
+  double heartbeat_interval_s = 0.5, lease_s = 6;
 };
 struct JobTimes {
   double run_s = 1, save_s = 0;
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -24,17 +24,17 @@
 // State service and cloud answer at once; machines are driven by the test.
 class ScriptedLeader {
  public:
-  explicit ScriptedLeader(double report_s = 2, double hold_s = 10,
+  explicit ScriptedLeader(double heartbeat_interval_s = 2, double hold_s = 10,
                           double base_share = 0.1)
-      : ScriptedLeader(report_s, Policy(hold_s, base_share)) {}
-  ScriptedLeader(double report_s, const PolicySettings& policy)
+      : ScriptedLeader(heartbeat_interval_s, Policy(hold_s, base_share)) {}
+  ScriptedLeader(double heartbeat_interval_s, const PolicySettings& policy)
       : policy_(policy) {
     settings_.node = "node-0";
     settings_.peers = {{"node-1", "a", "10.0.0.2:1"}};
     settings_.teams = {{"team", 10000, 20000, 0, 0},
                        {"other", 10, 100, 0, 0},
                        {"guests", 0, kNoLimit, 0, kNoLimit}};
-    settings_.report_s = report_s;
+    settings_.heartbeat_interval_s = heartbeat_interval_s;
     settings_.objectives = {{"wait", "urgent", 3, 1}};
     controller_ = std::make_unique<Controller>(settings_, policy_, 5);
     keys_["sw/term"] = {wire::EncodeTerm(kOldToken), 1};
@@ -91,7 +91,7 @@
     job.spec.id = id;
     job.spec.job_class = "service";
     job.spec.team = team;
-    job.spec.shape = Shape::kService;
+    job.spec.shape = JobShape::kService;
     job.spec.priority = Priority::kProduction;
     job.spec.tasks = replicas;
     job.spec.cpus = cpus;
@@ -220,9 +220,9 @@
         answer_ = *answer;
       if (auto* answer = std::get_if<ClientResponse>(&action))
         user_answer_ = *answer;
-      if (auto* release = std::get_if<CloudRelease>(&action))
+      if (auto* release = std::get_if<ReleaseMachines>(&action))
         release_not_after = release->not_after - now_;
-      if (auto* release = std::get_if<CloudRelease>(&action))
+      if (auto* release = std::get_if<ReleaseMachines>(&action))
         if (!cloud_out)
           released_.insert(release->machines.begin(), release->machines.end());
       std::visit([this](auto& item) { Serve(item); }, action);
@@ -325,14 +325,14 @@
     if (lease_refused) result.outcome = Outcome::kRefused;
     Give(result);
   }
-  void Serve(const CloudCatalog& catalog) {
+  void Serve(const FetchCatalog& catalog) {
     CloudResult result;
     result.id = catalog.id;
     result.outcome = Outcome::kOk;
     result.types = types;
     Give(result);
   }
-  void Serve(const CloudRent& rent) {
+  void Serve(const ProvisionMachines& rent) {
     CloudResult result;
     result.id = rent.id;
     result.outcome = Outcome::kOk;
@@ -345,8 +345,8 @@
     else
       Give(result);
   }
-  void Serve(const CloudRelease& release) { Cloud(release.id, !cloud_out); }
-  void Serve(const CloudList& list) {
+  void Serve(const ReleaseMachines& release) { Cloud(release.id, !cloud_out); }
+  void Serve(const ListCloudMachines& list) {
     if (listed.empty()) return Cloud(list.id, false);
     CloudResult result;
     result.id = list.id;
@@ -377,7 +377,7 @@
   std::set<std::string> released_;
 };
 
-// A machine that works as it should: a report every `report_s`.
+// A machine that works as it should: a report every `heartbeat_interval_s`.
 struct Healthy {
   explicit Healthy(std::string machine) : name(std::move(machine)) {}
 
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -42,15 +42,15 @@
   }
   LiveJob service;
   ASSERT_TRUE(wire::ParseLiveJob(kServiceJob, &service));
-  EXPECT_EQ(service.spec.shape, Shape::kService);
+  EXPECT_EQ(service.spec.shape, JobShape::kService);
   EXPECT_EQ(service.spec.tasks, 3u);
 }
 
 TEST(StoredForms, RecordsAreWrittenAndReadToTheByte) {
-  RentRecord rent;
-  ASSERT_TRUE(wire::ParseRentRecord(kRent, &rent));
+  ProvisioningRecord rent;
+  ASSERT_TRUE(wire::ParseProvisioningRecord(kRent, &rent));
   EXPECT_EQ(rent.machines.size(), 2u);
-  EXPECT_EQ(wire::EncodeRentRecord(rent), kRent);
+  EXPECT_EQ(wire::EncodeProvisioningRecord(rent), kRent);
   MachineRecord machine;
   ASSERT_TRUE(wire::ParseMachineRecord(kMachine, &machine));
   EXPECT_EQ(wire::EncodeMachineRecord(machine), kMachine);
--- a/tests/world.cc
+++ b/tests/world.cc
@@ -63,7 +63,7 @@
   double next_report = 0, last_heartbeat_at = -1;
   bool changed = false;
   uint64_t request = 0;
-  std::map<TaskKey, SimTask> tasks;
+  std::map<TaskId, SimTask> tasks;
 };
 
 struct World::User {
@@ -87,9 +87,9 @@
 World::World(const WorldOptions& options)
     : options_(options), rng_(options.seed) {
   settings_.teams = {{"blue", 12, 24, 0, 0}, {"green", 16, 36, 0, 0}};
-  settings_.report_s = 1.5;
-  settings_.lease_s = 14;
-  settings_.cancel_s = 39;
+  settings_.heartbeat_interval_s = 1.5;
+  settings_.worker_lease_s = 14;
+  settings_.cancel_deadline_s = 39;
   settings_.state_txn_ops = 12;
   settings_.cloud_rps = 8;
   settings_.list_lag_s = 3;
@@ -349,7 +349,7 @@
     spec.id = "job-4" + std::to_string(10000 + i);
     spec.job_class = "service";
     spec.team = i % 2 ? "blue" : "green";
-    spec.shape = Shape::kService;
+    spec.shape = JobShape::kService;
     spec.priority = Priority::kProduction;
     spec.tasks = 3 + static_cast<uint32_t>(rng_() % 3);
     spec.cpus = 1;
@@ -470,9 +470,9 @@
 }
 
 void World::BecomeFleet() {
-  settings_.report_s = 4;
-  settings_.lease_s = 22;
-  settings_.cancel_s = 47;
+  settings_.heartbeat_interval_s = 4;
+  settings_.worker_lease_s = 22;
+  settings_.cancel_deadline_s = 47;
   settings_.state_rps = 600;
   settings_.state_write_rps = 250;
   settings_.cloud_rps = 15;
@@ -628,20 +628,26 @@
   return -1;
 }
 
+// A machine that is well but was released as faulty.
+void World::CountWrongRelease(const LogEvent& event) {
+  if (event.message != "releasing machine") return;
+  std::map<std::string, std::string> fields;
+  for (const LogField& field : event.fields)
+    fields[field.name] = std::get<std::string>(field.value);
+  if (fields.at("reason") != "it is faulty") return;
+  const auto it = workers_.find(fields.at("machine"));
+  if (it != workers_.end() && !it->second->sick) ++wrongly_returned_;
+}
+
 void World::Handle(int index, Actions actions) {
   for (Action& action : actions) {
     digest_.Add(index, action);
-    if (auto* line = std::get_if<LogLine>(&action)) {
-      log_summary_.Add(index, *line);
-      const std::string& text = line->text;
-      const size_t colon = text.find(": it is faulty");
-      if (colon == std::string::npos) continue;
-      const size_t name = text.find("n-");
-      auto it = workers_.find(text.substr(name, colon - name));
-      if (it != workers_.end() && !it->second->sick) ++wrongly_returned_;
+    if (const auto* event = std::get_if<LogEvent>(&action)) {
+      log_summary_.Add(index, *event);
+      CountWrongRelease(*event);
       continue;
     }
-    if (std::holds_alternative<CloudRelease>(action) &&
+    if (std::holds_alternative<ReleaseMachines>(action) &&
         !nodes_[index]->controller->CollectStatistics().may_dispatch)
       Break("a leader whose lease is in doubt returns machines");
     Leave(index, [this, index, action = std::move(action)] {
@@ -701,13 +707,13 @@
         });
       });
     });
-  } else if (auto* catalog = std::get_if<CloudCatalog>(&action)) {
+  } else if (auto* catalog = std::get_if<FetchCatalog>(&action)) {
     AskCloud(index, *catalog);
-  } else if (auto* rent = std::get_if<CloudRent>(&action)) {
+  } else if (auto* rent = std::get_if<ProvisionMachines>(&action)) {
     if (!TooLate(index, *rent)) AskCloud(index, *rent);
-  } else if (auto* release = std::get_if<CloudRelease>(&action)) {
+  } else if (auto* release = std::get_if<ReleaseMachines>(&action)) {
     if (!TooLate(index, *release)) AskCloud(index, *release);
-  } else if (auto* machines = std::get_if<CloudList>(&action)) {
+  } else if (auto* machines = std::get_if<ListCloudMachines>(&action)) {
     AskCloud(index, *machines);
   } else if (auto* direct = std::get_if<PushedCommands>(&action)) {
     const PushedCommands command = *direct;
@@ -1101,16 +1107,16 @@
   });
 }
 
-CloudResult World::Serve(const CloudCatalog&) {
+CloudResult World::Serve(const FetchCatalog&) {
   CloudResult result;
   result.outcome = Outcome::kOk;
   result.types = types_;
   return result;
 }
 
-CloudResult World::Serve(const CloudRent& request) {
+CloudResult World::Serve(const ProvisionMachines& request) {
   CloudResult result;
-  const RentRecord& rent = request.rent;
+  const ProvisioningRecord& rent = request.rent;
   // The record must be there before the call, whoever sends it.
   if (!keys_.count("sw/rent/" + rent.name) && !rents_.count(rent.name) &&
       options_.late == 0 && options_.repeat == 0)
@@ -1167,7 +1173,7 @@
   return result;
 }
 
-CloudResult World::Serve(const CloudRelease& request) {
+CloudResult World::Serve(const ReleaseMachines& request) {
   for (const std::string& name : request.machines) Kill(name);
   CloudResult result;
   result.outcome = Outcome::kOk;
@@ -1175,7 +1181,7 @@
   return result;
 }
 
-CloudResult World::Serve(const CloudList&) {
+CloudResult World::Serve(const ListCloudMachines&) {
   CloudResult result;
   result.outcome = Outcome::kOk;
   for (const auto& [name, worker] : workers_) {
@@ -1245,7 +1251,7 @@
   if (!worker.up) return;
   After(0.1, [this, name] { WorkerLoop(name); });
   if (now_ < worker.hung_until) return;
-  if (now_ - worker.lease_from > settings_.lease_s) {
+  if (now_ - worker.lease_from > settings_.worker_lease_s) {
     LoseAll(worker);
     OnNewIncarnation(worker);
   }
@@ -1282,7 +1288,8 @@
   worker.in_flight = true;
   worker.changed = false;
   worker.last_heartbeat_at = now_;
-  worker.next_report = now_ + settings_.report_s * (0.75 + 0.5 * Random());
+  worker.next_report =
+      now_ + settings_.heartbeat_interval_s * (0.75 + 0.5 * Random());
   const uint64_t request = next_request_++;
   worker.request = request;
   const Heartbeat heartbeat = MakeHeartbeat(worker);
@@ -1310,7 +1317,7 @@
   if (now_ < copies_until_ && Random() < copies_share_)
     copies_for_next_.emplace_back(request, heartbeat);
   if (now_ < late_reports_until_ && Random() < late_reports_share_)
-    After(2 + 1.5 * settings_.lease_s * Random(), deliver);
+    After(2 + 1.5 * settings_.worker_lease_s * Random(), deliver);
   if (Random() < options_.lose) return;
   After(Latency(), deliver);
   if (Random() < options_.repeat) After(5 * Random(), deliver);
@@ -1320,7 +1327,7 @@
 
 void World::Execute(Worker& worker, const std::vector<Command>& commands) {
   for (const Command& command : commands) {
-    const TaskKey key{command.job, command.task};
+    const TaskId key{command.job, command.task};
     auto it = worker.tasks.find(key);
     const bool same =
         it != worker.tasks.end() && it->second.attempt == command.attempt;
@@ -1352,7 +1359,7 @@
             auto found = w.tasks.find(key);
             if (found == w.tasks.end() || found->second.timer != timer) return;
             found->second.saved = true;
-            users_[key.first]->saved_s[key.second] +=
+            users_[key.job]->saved_s[key.task] +=
                 now_ - found->second.running_since;
             EndTask(w, found->second, ExitReason::kStopped);
           });
@@ -1408,7 +1415,7 @@
 }
 
 void World::StartTask(Worker& worker, const Command& command) {
-  const TaskKey key{command.job, command.task};
+  const TaskId key{command.job, command.task};
   SimTask task;
   task.job = command.job;
   task.task = command.task;
@@ -1446,7 +1453,7 @@
         });
 }
 
-void World::TaskHasImage(const std::string& machine, const TaskKey& key,
+void World::TaskHasImage(const std::string& machine, const TaskId& key,
                          uint64_t attempt) {
   Worker& worker = *workers_[machine];
   if (!worker.up) return;
@@ -1460,7 +1467,7 @@
     return;
   }
   // The lease is looked at before anything starts.
-  if (now_ - worker.lease_from > settings_.lease_s) return;
+  if (now_ - worker.lease_from > settings_.worker_lease_s) return;
   SimTask& task = it->second;
   CheckStart(worker, task);
   User& starter = *users_[task.job];
@@ -1478,9 +1485,9 @@
   const bool kept = user.done.Contains(task.task);
   const uint64_t timer = ++task.timer;
   const bool fails = worker.sick || user.broken;
-  const auto saved = user.saved_s.find(key.second);
+  const auto saved = user.saved_s.find(key.task);
   const double run_s =
-      user.run_s * (options_.ends_far_apart ? 1 + 3 * key.second : 1);
+      user.run_s * (options_.ends_far_apart ? 1 + 3 * key.task : 1);
   After(kept                          ? 0.1
         : fails                       ? 0.5
         : saved == user.saved_s.end() ? run_s
@@ -1501,9 +1508,9 @@
         });
 }
 
-void World::PlanReplicaEnd(const std::string& machine, const TaskKey& key,
+void World::PlanReplicaEnd(const std::string& machine, const TaskId& key,
                            uint64_t timer) {
-  const User& user = *users_[key.first];
+  const User& user = *users_[key.job];
   const Worker& worker = *workers_[machine];
   if (user.spins) ++spins_;
   double after = 0;
@@ -1750,11 +1757,11 @@
   for (auto& [name, worker] : workers_) {
     if (!worker->up) continue;
     for (const auto& [key, task] : worker->tasks) {
-      const User& user = *users_[key.first];
+      const User& user = *users_[key.job];
       if (task.state != TaskState::kRunning || user.over || user.asked_cancel ||
-          (jobs.size() >= count && !jobs.count(key.first)))
+          (jobs.size() >= count && !jobs.count(key.job)))
         continue;
-      jobs.insert(key.first);
+      jobs.insert(key.job);
       if (holders.empty() || holders.back() != worker.get())
         holders.push_back(worker.get());
     }
@@ -1787,7 +1794,7 @@
   for (const std::string& other_name : told_to_start_[task.job]) {
     const Worker& other = *workers_[other_name];
     // One that hangs past its lease kills what it has before anything goes on.
-    if (now_ - other.lease_from > settings_.lease_s) continue;
+    if (now_ - other.lease_from > settings_.worker_lease_s) continue;
     auto same = other.tasks.find({task.job, task.task});
     if (same != other.tasks.end() && OnMachine(same->second.state) &&
         &other != &worker)
@@ -1799,8 +1806,7 @@
                 .append(other_name));
     if (!spec.one_zone && !spec.spread) continue;
     for (const auto& [key, placed] : other.tasks)
-      if (key.first == task.job && OnMachine(placed.state))
-        ++in_zone[other.zone];
+      if (key.job == task.job && OnMachine(placed.state)) ++in_zone[other.zone];
   }
   if ((worker.spot && !spec.spot) ||
       (!spec.zone.empty() && spec.zone != worker.zone) ||
@@ -1813,7 +1819,7 @@
   if (spec.spread && in_zone[worker.zone] + 1 > (spec.tasks + 1) / 2)
     Break("wrong_place: " + name + " is not spread");
   if (user.told_cancelled > 0 &&
-      now_ > user.told_cancelled + settings_.cancel_s)
+      now_ > user.told_cancelled + settings_.cancel_deadline_s)
     Break("ran_cancelled: " + name + " starts");
 }
 
@@ -1882,9 +1888,9 @@
   for (const auto& [name, worker] : workers_)
     for (const auto& [key, task] : worker->tasks) {
       if (!on(task)) continue;
-      use[users_[key.first]->spec.team] += users_[key.first]->spec.cpus;
-      ++held[key.first];
-      ++held_in[{key.first, worker->zone}];
+      use[users_[key.job]->spec.team] += users_[key.job]->spec.cpus;
+      ++held[key.job];
+      ++held_in[{key.job, worker->zone}];
     }
   for (auto& [id, user] : users_) {
     const JobSpec& spec = user->spec;
@@ -1903,8 +1909,8 @@
       double cpus = spec.cpus, memory = spec.memory_gb;
       for (const auto& [key, task] : w.tasks) {
         if (!on(task)) continue;
-        cpus += users_[key.first]->spec.cpus;
-        memory += users_[key.first]->spec.memory_gb;
+        cpus += users_[key.job]->spec.cpus;
+        memory += users_[key.job]->spec.memory_gb;
       }
       return cpus <= type.cpus && memory <= type.memory_gb;
     };
@@ -1938,11 +1944,11 @@
   std::map<std::string, uint32_t> on;
   for (const auto& [name, worker] : workers_)
     for (const auto& [key, task] : worker->tasks)
-      if (OnMachine(task.state)) ++on[key.first];
+      if (OnMachine(task.state)) ++on[key.job];
   std::map<std::string, double> as_urgent;  // CPUs of its priority, by team
   for (const auto& [name, worker] : workers_) {
     for (const auto& [key, task] : worker->tasks) {
-      const JobSpec& spec = users_[key.first]->spec;
+      const JobSpec& spec = users_[key.job]->spec;
       if (spec.priority == Priority::kProduction &&
           task.state != TaskState::kExited)
         as_urgent[spec.team] += spec.cpus;
@@ -1972,14 +1978,14 @@
   CheckForgotten();
   std::map<std::string, double> use;
   for (const auto& [name, worker] : workers_) {
-    if (now_ - worker->lease_from > settings_.lease_s) continue;
+    if (now_ - worker->lease_from > settings_.worker_lease_s) continue;
     for (const auto& [key, task] : worker->tasks) {
       if (!OnMachine(task.state)) continue;
-      const User& user = *users_[key.first];
+      const User& user = *users_[key.job];
       use[user.spec.team] += user.spec.cpus;
       if (user.told_cancelled > 0 &&
-          now_ > user.told_cancelled + settings_.cancel_s)
-        Break("ran_cancelled: " + key.first + " is still on " + name);
+          now_ > user.told_cancelled + settings_.cancel_deadline_s)
+        Break("ran_cancelled: " + key.job + " is still on " + name);
     }
   }
   for (const Team& team : settings_.teams)
--- a/tests/world.h
+++ b/tests/world.h
@@ -233,6 +233,7 @@
   void StartNode(int index);
   void CrashNode(int index, double restart_s);
   void TickNode(int index, int life);
+  void CountWrongRelease(const LogEvent& event);
   void Handle(int index, Actions actions);
   template <typename Input>
   void Feed(int index, int life, Input input);
@@ -263,10 +264,10 @@
   // Cloud.
   template <typename Request>
   void AskCloud(int node, const Request& request);
-  CloudResult Serve(const CloudCatalog& request);
-  CloudResult Serve(const CloudRent& request);
-  CloudResult Serve(const CloudRelease& request);
-  CloudResult Serve(const CloudList& request);
+  CloudResult Serve(const FetchCatalog& request);
+  CloudResult Serve(const ProvisionMachines& request);
+  CloudResult Serve(const ReleaseMachines& request);
+  CloudResult Serve(const ListCloudMachines& request);
 
   // Workers.
   void Boot(const std::string& name);
@@ -276,7 +277,7 @@
   Heartbeat MakeHeartbeat(Worker& worker);
   void Execute(Worker& worker, const std::vector<Command>& commands);
   void StartTask(Worker& worker, const Command& command);
-  void TaskHasImage(const std::string& machine, const TaskKey& key,
+  void TaskHasImage(const std::string& machine, const TaskId& key,
                     uint64_t attempt);
   void EndTask(Worker& worker, SimTask& task, ExitReason reason);
   void LoseAll(Worker& worker);
@@ -311,7 +312,7 @@
   // Whether the transaction is within the limits of now, and why not.
   StateRefusal OverLimits(const StateTransaction& request);
   // By what means a replica is to end by itself, and after how long.
-  void PlanReplicaEnd(const std::string& machine, const TaskKey& key,
+  void PlanReplicaEnd(const std::string& machine, const TaskId& key,
                       uint64_t timer);
   void BecomeFleet();
   JobSpec FleetJob(JobSpec spec);
