--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -39,8 +39,8 @@
       machine->type = FindType(record.type);
       machine->zone = record.zone;
       machine->spot = record.spot;
-      machine->identity_confirmed = true;
-      machine->rented_at = context_->now;
+      machine->lifecycle.identity_confirmed = true;
+      machine->lifecycle.rented_at = context_->now;
       rent.unsettled.insert(name);
     }
     rents_[record.name] = std::move(rent);
@@ -100,8 +100,8 @@
 // -------------------------------------------------------------------
 
 void Autoscaler::Return(Machine* machine, const std::string& why) {
-  if (machine->terminating) return;
-  machine->terminating = true;
+  if (machine->lifecycle.terminating) return;
+  machine->lifecycle.terminating = true;
   returning_.insert(machine->name);
   context_->Info("releasing machine",
                  {{"machine", machine->name}, {"reason", why}});
@@ -125,7 +125,7 @@
           returning_.erase(name);
           Machine* machine = machines_->Find(name);
           if (!machine) continue;
-          if (machine->recorded || machine->recording)
+          if (machine->lifecycle.recorded || machine->lifecycle.recording)
             writer_->Remove(keys::Machine(name));
           if (on_gone) on_gone(machine);
           machines_->Remove(name);
@@ -138,27 +138,28 @@
   const BootPeers came_up = CameUp();
   for (auto& [name, machine] : machines_->all()) {
     Machine* m = machine.get();
-    if (m->terminating || !m->type) continue;
-    if (!m->ever_reported) {
+    if (m->lifecycle.terminating || !m->type) continue;
+    if (!m->lifecycle.ever_reported) {
       if (GivenUp(*m, came_up)) Return(m, "it has not come up");
       continue;
     }
     if (!m->attempts.empty() || !m->unrecorded_completions.empty() ||
-        !m->token_acknowledged || m->HasReservations()) {
-      m->idle_since = 0;
+        !m->lifecycle.token_acknowledged || m->HasReservations()) {
+      m->lifecycle.idle_since = 0;
       continue;
     }
-    if (m->quarantined) {
-      if (context_->now >= m->suspect_until) Return(m, "it is faulty");
+    if (m->health.quarantined) {
+      if (context_->now >= m->health.suspect_until) Return(m, "it is faulty");
       continue;
     }
-    if (m->preemption_deadline > 0) {
+    if (m->lifecycle.preemption_deadline > 0) {
       Return(m, "the cloud takes it back");
       continue;
     }
-    if (m->idle_since == 0) m->idle_since = context_->now;
-    if (!m->baseline && !m->for_services &&
-        context_->now - std::max(m->idle_since, held_up_at_) > policy_.hold_s)
+    if (m->lifecycle.idle_since == 0) m->lifecycle.idle_since = context_->now;
+    if (!m->role.baseline && !m->role.for_services &&
+        context_->now - std::max(m->lifecycle.idle_since, held_up_at_) >
+            policy_.hold_s)
       Return(m, "idle");
   }
 }
@@ -197,21 +198,21 @@
     present.insert(item.name);
     if (machines_->IsGone(item.name)) continue;  // the list lags
     Machine* machine = machines_->Find(item.name);
-    if (!machine || !machine->identity_confirmed) {
+    if (!machine || !machine->lifecycle.identity_confirmed) {
       // A rental that was carried out late: used like any other machine.
       machine = machines_->Add(item.name);
       machine->type_name = item.type;
       machine->type = FindType(item.type);
       machine->zone = item.zone;
       machine->spot = item.spot;
-      machine->rented_at = context_->now - item.age_s;
+      machine->lifecycle.rented_at = context_->now - item.age_s;
     }
     // One that an earlier leader rented: since when, only the list tells.
-    if (!machine->ever_reported)
-      machine->rented_at =
-          std::min(machine->rented_at, context_->now - item.age_s);
-    machine->listed = machine->identity_confirmed = true;
-    machine->unlisted_since = 0;
+    if (!machine->lifecycle.ever_reported)
+      machine->lifecycle.rented_at =
+          std::min(machine->lifecycle.rented_at, context_->now - item.age_s);
+    machine->lifecycle.listed = machine->lifecycle.identity_confirmed = true;
+    machine->lifecycle.unlisted_since = 0;
     if (machine->address.empty()) machine->address = item.address;
     if (item.status == MachineStatus::kFailed) Return(machine, "it failed");
   }
@@ -219,22 +220,24 @@
   // proof; a list alone is none.
   const double lag = 2 * settings_->list_lag_s + ListIntervalS();
   for (auto& [name, machine] : machines_->all()) {
-    if (present.count(name) || machine->terminating) continue;
+    if (present.count(name) || machine->lifecycle.terminating) continue;
     // One that an earlier leader recorded was rented before we were elected: a
     // list so much later lacks it only if it is gone, and the removal of its
     // record was lost. Guards against a takeover that is held up by the records
     // of machines that no longer exist, however many.
-    if (machine->from_earlier_term && !machine->listed &&
-        sent > machine->rented_at + 2 * settings_->list_lag_s + kListMarginS &&
-        context_->now - machine->last_contact_at >
+    if (machine->lifecycle.from_earlier_term && !machine->lifecycle.listed &&
+        sent > machine->lifecycle.rented_at + 2 * settings_->list_lag_s +
+                   kListMarginS &&
+        context_->now - machine->contact.last_contact_at >
             kSilentHeartbeats * settings_->heartbeat_interval_s) {
       Return(machine.get(), "it was not there any more");
       continue;
     }
-    if (!machine->listed) continue;
-    if (machine->unlisted_since == 0) machine->unlisted_since = context_->now;
-    if (context_->now - machine->unlisted_since > lag &&
-        context_->now - machine->last_contact_at >
+    if (!machine->lifecycle.listed) continue;
+    if (machine->lifecycle.unlisted_since == 0)
+      machine->lifecycle.unlisted_since = context_->now;
+    if (context_->now - machine->lifecycle.unlisted_since > lag &&
+        context_->now - machine->contact.last_contact_at >
             kSilentHeartbeats * settings_->heartbeat_interval_s)
       Return(machine.get(), "it is no longer listed");
   }
@@ -306,23 +309,24 @@
 }
 
 bool Autoscaler::InPlan(const Machine& machine) {
-  return machine.type && machine.identity_confirmed && !machine.terminating &&
-         !machine.quarantined && !machine.unreachable &&
-         machine.preemption_deadline == 0;
+  return machine.type && machine.lifecycle.identity_confirmed &&
+         !machine.lifecycle.terminating && !machine.health.quarantined &&
+         !machine.contact.unreachable &&
+         machine.lifecycle.preemption_deadline == 0;
 }
 
 double Autoscaler::Coming(const Machine& machine) const {
-  if (machine.ever_reported) return 1;
-  const double boots =
-      (context_->now - machine.rented_at) / std::max(1.0, machine.type->boot_s);
+  if (machine.lifecycle.ever_reported) return 1;
+  const double boots = (context_->now - machine.lifecycle.rented_at) /
+                       std::max(1.0, machine.type->boot_s);
   return std::clamp((kBootLate - boots) / (kBootLate - kBootUsual), 0.0, 1.0);
 }
 
 Autoscaler::BootPeers Autoscaler::CameUp() const {
   BootPeers came_up;
   for (const auto& [name, machine] : machines_->all())
-    if (machine->came_up_at > 0)
-      came_up[machine->type].push_back(machine->rented_at);
+    if (machine->lifecycle.came_up_at > 0)
+      came_up[machine->type].push_back(machine->lifecycle.rented_at);
   for (auto& [type, rented_at] : came_up)
     std::sort(rented_at.begin(), rented_at.end());
   return came_up;
@@ -330,7 +334,7 @@
 
 bool Autoscaler::GivenUp(const Machine& machine,
                          const BootPeers& came_up) const {
-  const double age = context_->now - machine.rented_at;
+  const double age = context_->now - machine.lifecycle.rented_at;
   const auto over = [&](double boots) {
     return age > std::max(kBootPatienceMinS, machine.type->boot_s * boots);
   };
@@ -340,8 +344,8 @@
   const auto of_type = came_up.find(machine.type);
   if (of_type != came_up.end()) {
     const std::vector<double>& rented_at = of_type->second;
-    const auto first_peer =
-        std::lower_bound(rented_at.begin(), rented_at.end(), machine.rented_at);
+    const auto first_peer = std::lower_bound(rented_at.begin(), rented_at.end(),
+                                             machine.lifecycle.rented_at);
     if (static_cast<size_t>(rented_at.end() - first_peer) >= kBootPeers)
       return true;
   }
@@ -557,15 +561,15 @@
   std::vector<Machine*> candidates;
   for (auto& [name, machine] : machines_->all()) {
     Machine* m = machine.get();
-    m->for_services = m->type && HoldsReplicas(*m);
-    if (InPlan(*m) && m->token_acknowledged) candidates.push_back(m);
+    m->role.for_services = m->type && HoldsReplicas(*m);
+    if (InPlan(*m) && m->lifecycle.token_acknowledged) candidates.push_back(m);
   }
   const std::vector<Placement::Headroom> needs = HeadroomNeeds();
   if (needs.empty()) return;
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Machine* a, const Machine* b) {
-                     if (a->for_services != b->for_services)
-                       return a->for_services;
+                     if (a->role.for_services != b->role.for_services)
+                       return a->role.for_services;
                      return PricePerCore(*a) < PricePerCore(*b);
                    });
   for (const Placement::Headroom& need : needs) {
@@ -574,13 +578,13 @@
     double left = need.slots;
     for (Machine* m : candidates) {
       if (left < 1) break;
-      m->excess = false;  // chosen anew after this
+      m->role.excess = false;  // chosen anew after this
       const double slots = std::min({left, of_a_zone - kept[m->zone],
                                      Placement::HeadroomSlots(*m, need.usual)});
       if (slots < 1) continue;
       kept[m->zone] += slots;
       left -= slots;
-      m->for_services = true;
+      m->role.for_services = true;
     }
   }
 }
@@ -618,7 +622,7 @@
     };
     for (const auto& [name, machine] : machines_->all()) {
       if (!InPlan(*machine)) continue;
-      if (machine->ever_reported)
+      if (machine->lifecycle.ever_reported)
         free[machine->zone] += Placement::HeadroomSlots(*machine, need.usual);
       else
         coming(*machine->type, machine->zone, machine->spot, Coming(*machine));
@@ -758,10 +762,10 @@
             machine->type = FindType(open.record.type);
             machine->zone = open.record.zone;
             machine->spot = open.record.spot;
-            machine->rented_at = open.began;
+            machine->lifecycle.rented_at = open.began;
           }
-          machine->identity_confirmed = true;
-          if (!machine->recorded) open.unsettled.insert(machine_name);
+          machine->lifecycle.identity_confirmed = true;
+          if (!machine->lifecycle.recorded) open.unsettled.insert(machine_name);
         }
         if (open.unsettled.empty())
           EndRent(name);
@@ -798,7 +802,7 @@
   std::vector<Machine*> usable;
   double used = 0;
   for (auto& [name, machine] : machines_->all()) {
-    machine->baseline = false;
+    machine->role.baseline = false;
     used += machine->cpus_used;
     if (machine->InService()) usable.push_back(machine.get());
   }
@@ -812,8 +816,8 @@
                    });
   double cpus = 0;
   for (Machine* machine : usable) {
-    machine->baseline = cpus < base_target_;
-    if (machine->baseline) cpus += machine->type->cpus;
+    machine->role.baseline = cpus < base_target_;
+    if (machine->role.baseline) cpus += machine->type->cpus;
   }
 }
 
@@ -823,7 +827,7 @@
   std::vector<Machine*> up;
   double capacity = 0, demand = 0;
   for (auto& [name, machine] : machines_->all()) {
-    machine->was_excess = std::exchange(machine->excess, false);
+    machine->role.was_excess = std::exchange(machine->role.excess, false);
     if (!machine->InService()) continue;
     up.push_back(machine.get());
     capacity += machine->type->cpus;
@@ -840,17 +844,17 @@
   // The dearest first; among equals those that are emptying already, then those
   // that will be empty soonest.
   const auto rank = [](const Machine* m) {
-    return std::make_tuple(m->baseline, -PricePerCore(*m), !m->was_excess,
-                           m->cpus_used / m->type->cpus);
+    return std::make_tuple(m->role.baseline, -PricePerCore(*m),
+                           !m->role.was_excess, m->cpus_used / m->type->cpus);
   };
   std::stable_sort(
       up.begin(), up.end(),
       [&](const Machine* a, const Machine* b) { return rank(a) < rank(b); });
   for (Machine* machine : up) {
-    if (machine->baseline) break;
-    if (machine->for_services) continue;
+    if (machine->role.baseline) break;
+    if (machine->role.for_services) continue;
     if ((capacity - machine->type->cpus) < demand * kExcessMargin) continue;
-    machine->excess = true;
+    machine->role.excess = true;
     capacity -= machine->type->cpus;
   }
   DrainExcessMachines(up);
@@ -862,11 +866,11 @@
 void Autoscaler::DrainExcessMachines(const std::vector<Machine*>& first) {
   double room = 0, cheapest = PricePerCore(*first.front());
   for (const Machine* machine : first) {
-    if (!machine->excess) room += machine->cpus_free();
+    if (!machine->role.excess) room += machine->cpus_free();
     cheapest = std::min(cheapest, PricePerCore(*machine));
   }
   for (Machine* machine : first) {
-    if (!machine->excess || machine->attempts.empty()) continue;
+    if (!machine->role.excess || machine->attempts.empty()) continue;
     const bool dear = PricePerCore(*machine) >= cheapest * kDearRatio;
     if (!dear && machine->cpus_used > machine->type->cpus * kMoveUsedShare)
       continue;
--- a/src/core/balance/load_bounds.h
+++ b/src/core/balance/load_bounds.h
@@ -36,7 +36,7 @@
 
   // The machine's load is spread: it serves, and is not being emptied.
   static bool Counts(const Machine& machine) {
-    return machine.InService() && !machine.excess;
+    return machine.InService() && !machine.role.excess;
   }
   double capacity_cpus() const { return capacity_cpus_; }
 
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -143,8 +143,8 @@
 
 bool Rebalancer::CanTake(const Job& job, const Machine& target,
                          const Machine& from) const {
-  if (&target == &from || target.excess || !placement_->AcceptsTasks(target) ||
-      !target.Fits(job.spec()) ||
+  if (&target == &from || target.role.excess ||
+      !placement_->AcceptsTasks(target) || !target.Fits(job.spec()) ||
       !placement_->IsEligibleAfterLeaving(job, target, from) ||
       !bounds_.Allow(job, target))
     return false;
@@ -234,7 +234,7 @@
   const auto move = moves_.find({job->id(), task});
   if (move == moves_.end()) return;
   Machine* to = machines_->Find(move->second.to);
-  const bool place_is_good = to && !to->excess &&
+  const bool place_is_good = to && !to->role.excess &&
                              placement_->AcceptsTasks(*to) &&
                              placement_->IsEligible(*job, *to);
   const bool may_start = job->pending.Contains(task) &&
--- a/src/core/controller/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -116,13 +116,13 @@
     machine->type = autoscaler_.FindType(record.type);
     machine->zone = record.zone;
     machine->spot = record.spot;
-    machine->recorded = true;
-    machine->from_earlier_term = true;
-    machine->ever_reported = true;
-    machine->identity_confirmed = true;
-    machine->rented_at = machine->last_contact_at = machine->last_heartbeat_at =
-        machine->last_answered_at = machine->last_delivery_proof_at =
-            context_->now;
+    machine->lifecycle.recorded = true;
+    machine->lifecycle.from_earlier_term = true;
+    machine->lifecycle.ever_reported = true;
+    machine->lifecycle.identity_confirmed = true;
+    machine->lifecycle.rented_at = machine->contact.last_contact_at =
+        machine->contact.last_heartbeat_at = machine->contact.last_answered_at =
+            machine->contact.last_delivery_proof_at = context_->now;
   }
 }
 
@@ -212,8 +212,8 @@
   // believe of a lease.
   const bool copy =
       !machine || std::make_pair(heartbeat.incarnation, heartbeat.sequence) <=
-                      std::make_pair(machine->answered_incarnation,
-                                     machine->answered_sequence);
+                      std::make_pair(machine->contact.answered_incarnation,
+                                     machine->contact.answered_sequence);
   if (copy) {
     answer.status = 503;
     context_->out.push_back(std::move(answer));
@@ -224,27 +224,29 @@
   // come in a row too, but none shows our token.)
   const bool in_a_row =
       heartbeat.fencing_token == election_->term() &&
-      heartbeat.incarnation == machine->answered_incarnation &&
-      heartbeat.sequence == machine->answered_sequence + 1;
-  const bool first = machine->answered_sequence == 0;  // of this term
-  if (in_a_row || first) machine->last_delivery_proof_at = context_->now;
+      heartbeat.incarnation == machine->contact.answered_incarnation &&
+      heartbeat.sequence == machine->contact.answered_sequence + 1;
+  const bool first = machine->contact.answered_sequence == 0;  // of this term
+  if (in_a_row || first)
+    machine->contact.last_delivery_proof_at = context_->now;
   // After a silence the count starts again: it was cut off, not unreachable.
-  const bool was_silent = context_->now - machine->last_heartbeat_at >
+  const bool was_silent = context_->now - machine->contact.last_heartbeat_at >
                           monitor_.UnreachableThreshold();
   if (in_a_row || first || was_silent)
-    machine->delivery_unproven_since = context_->now;
-  const bool newer = std::make_pair(heartbeat.incarnation, heartbeat.sequence) >
-                     std::make_pair(machine->incarnation, machine->sequence);
+    machine->contact.delivery_unproven_since = context_->now;
+  const bool newer =
+      std::make_pair(heartbeat.incarnation, heartbeat.sequence) >
+      std::make_pair(machine->contact.incarnation, machine->contact.sequence);
   if (newer) ApplyHeartbeat(machine, heartbeat, /*direct=*/false);
-  if (machine->unreachable) {
+  if (machine->contact.unreachable) {
     // Not answered any more, so that its lease is known to run out.
     answer.status = 503;
     context_->out.push_back(std::move(answer));
     return;
   }
-  machine->answered_incarnation = heartbeat.incarnation;
-  machine->answered_sequence = heartbeat.sequence;
-  machine->last_answered_at = context_->now;
+  machine->contact.answered_incarnation = heartbeat.incarnation;
+  machine->contact.answered_sequence = heartbeat.sequence;
+  machine->contact.last_answered_at = context_->now;
   if (newer && heartbeat.fencing_token == election_->term()) {
     UpdateUnreconciled();
     placement_.FillMachine(machine, election_->term());
@@ -271,24 +273,26 @@
 
 void Scheduler::ApplyHeartbeat(Machine* machine, const Heartbeat& heartbeat,
                                bool direct) {
-  if (!machine->ever_reported) {
-    machine->ever_reported = true;
-    machine->came_up_at = context_->now;
-    machine->rented_at = std::min(machine->rented_at, context_->now);
-  }
-  machine->last_contact_at = context_->now;
-  if (!direct) machine->last_heartbeat_at = context_->now;
+  if (!machine->lifecycle.ever_reported) {
+    machine->lifecycle.ever_reported = true;
+    machine->lifecycle.came_up_at = context_->now;
+    machine->lifecycle.rented_at =
+        std::min(machine->lifecycle.rented_at, context_->now);
+  }
+  machine->contact.last_contact_at = context_->now;
+  if (!direct) machine->contact.last_heartbeat_at = context_->now;
   if (!heartbeat.address.empty()) machine->address = heartbeat.address;
-  if (heartbeat.incarnation != machine->incarnation)
+  if (heartbeat.incarnation != machine->contact.incarnation)
     OnNewIncarnation(machine, heartbeat.incarnation);
-  machine->sequence = heartbeat.sequence;
+  machine->contact.sequence = heartbeat.sequence;
   if (heartbeat.fencing_token > election_->term()) {
     election_->ObserveTerm(heartbeat.fencing_token);
     return;
   }
   // One that we know otherwise than from this report is written down while it
   // is being shown our token.
-  if (machine->identity_confirmed && !machine->recorded) Record(machine);
+  if (machine->lifecycle.identity_confirmed && !machine->lifecycle.recorded)
+    Record(machine);
   if (heartbeat.fencing_token < election_->term()) {
     // It may be a late copy: what it holds is not believed before it has shown
     // our token, which no copy of an earlier term's report can. A result is one
@@ -298,10 +302,11 @@
         ApplyTaskStatus(machine, task);
     return;
   }
-  machine->identity_confirmed = true;
-  if (!machine->recorded) Record(machine);
-  if (heartbeat.preemption_notice_s && machine->preemption_deadline == 0) {
-    machine->preemption_deadline =
+  machine->lifecycle.identity_confirmed = true;
+  if (!machine->lifecycle.recorded) Record(machine);
+  if (heartbeat.preemption_notice_s &&
+      machine->lifecycle.preemption_deadline == 0) {
+    machine->lifecycle.preemption_deadline =
         context_->now + std::max(0.0, *heartbeat.preemption_notice_s);
     OnPreemptionNotice(machine);
   }
@@ -337,15 +342,15 @@
                                   : machine->unrecorded_completions.erase(it);
   // Only a machine that shows our token takes no orders from an earlier leader
   // any more: until then its report may miss a launch of his.
-  if (!machine->token_acknowledged) {
-    machine->token_acknowledged = true;
-    machine->from_earlier_term = false;
+  if (!machine->lifecycle.token_acknowledged) {
+    machine->lifecycle.token_acknowledged = true;
+    machine->lifecycle.from_earlier_term = false;
     // Until it showed our token an earlier leader may have answered it: its
     // lease counts from now. Guards against taking its tasks for gone while
     // they run, where it was shown the token directly and then fell silent.
-    machine->last_answered_at = context_->now;
-    machine->delivery_unproven_since = machine->last_delivery_proof_at =
-        context_->now;
+    machine->contact.last_answered_at = context_->now;
+    machine->contact.delivery_unproven_since =
+        machine->contact.last_delivery_proof_at = context_->now;
     unreconciled_.Update(*machine);
   }
 }
@@ -355,8 +360,8 @@
   RemoveAllAttempts(machine);
   machine->unrecorded_completions.clear();
   machine->images.clear();
-  machine->incarnation = incarnation;
-  machine->sequence = 0;
+  machine->contact.incarnation = incarnation;
+  machine->contact.sequence = 0;
 }
 
 void Scheduler::ApplyTaskStatus(Machine* machine, const TaskStatus& task) {
@@ -424,7 +429,7 @@
   attempt.phase = AttemptPhase::kConfirmed;
   attempt.state = task.state;
   attempt.running_since = task.state == TaskState::kRunning ? context_->now : 0;
-  attempt.speculative = !machine->baseline;
+  attempt.speculative = !machine->role.baseline;
   attempt.stop = job->done.Contains(task.task);
   jobs_.Place(job, task.task, machine->name, machine->zone);
   machine->AddAttempt(key, std::move(attempt));
@@ -469,7 +474,8 @@
       return;
     case ExitReason::kNoRoom:
     case ExitReason::kBusy:
-      if (attempt) machine->refused_until = context_->now + kRefusedStartPauseS;
+      if (attempt)
+        machine->health.refused_until = context_->now + kRefusedStartPauseS;
       return;
     case ExitReason::kUnknown:
       if (attempt && job) job->retry_at = context_->now + kJobRetryPauseS;
@@ -516,15 +522,15 @@
 // The machine is gone, or no leader can have kept its tasks alive so long. A
 // new incarnation alone is less: an earlier leader may have placed tasks in it.
 void Scheduler::ForgetMachineContents(Machine* machine) {
-  machine->from_earlier_term = false;
+  machine->lifecycle.from_earlier_term = false;
   machine->unrecorded_completions.clear();
   RemoveAllAttempts(machine);
 }
 
 // A task has run as it should there: what failed before tells nothing of it.
 void Scheduler::OnTaskSucceeded(Machine* machine) {
-  machine->errors.clear();
-  if (machine->quarantined) ReassessQuarantine(machine);
+  machine->health.errors.clear();
+  if (machine->health.quarantined) ReassessQuarantine(machine);
 }
 
 // The job's failures elsewhere tell of those machines.
@@ -580,7 +586,7 @@
   }
   if (proven && ++job->task_errors[task] >= kBrokenTaskErrors) return;
   if (job->ends_by_itself) return;  // it tells nothing of machines
-  ++machine->errors[job->id()];
+  ++machine->health.errors[job->id()];
   ReassessQuarantine(machine);
 }
 
@@ -589,7 +595,7 @@
 void Scheduler::ReassessQuarantine(Machine* machine) {
   int proven = 0;
   size_t unproven = 0;
-  for (const auto& [id, errors] : machine->errors) {
+  for (const auto& [id, errors] : machine->health.errors) {
     const Job* job = jobs_.Find(id);
     if (!job || job->broken()) continue;  // it was the job, or can't be told
     if (!job->succeeded())
@@ -599,14 +605,14 @@
   }
   const bool sick =
       proven >= kQuarantineErrors || unproven >= kQuarantineFailingJobs;
-  if (proven >= kQuarantineErrors) machine->suspect_until = 0;
-  if (sick == machine->quarantined) return;
-  machine->quarantined = sick;
+  if (proven >= kQuarantineErrors) machine->health.suspect_until = 0;
+  if (sick == machine->health.quarantined) return;
+  machine->health.quarantined = sick;
   context_->Info(sick ? "machine quarantined: its tasks fail"
                       : "machine back from quarantine: the jobs were at fault",
                  {{"machine", machine->name}});
   if (sick && proven < kQuarantineErrors)
-    machine->suspect_until = context_->now + kSuspectMachineAvoidS;
+    machine->health.suspect_until = context_->now + kSuspectMachineAvoidS;
   if (proven < kQuarantineErrors) return;
   for (auto& [key, attempt] : machine->attempts) {
     const Job* other = jobs_.Find(key.job);
@@ -618,7 +624,7 @@
 // What can save does so and moves; what would end in time runs on; the rest
 // loses its work either way and moves at once.
 void Scheduler::OnPreemptionNotice(Machine* machine) {
-  const double left = machine->preemption_deadline - context_->now;
+  const double left = machine->lifecycle.preemption_deadline - context_->now;
   for (auto& [key, attempt] : machine->attempts) {
     const Job* job = jobs_.Find(key.job);
     // A replica goes once there is a place for it: ReplicaManager.
@@ -688,15 +694,15 @@
 }
 
 void Scheduler::Record(Machine* machine) {
-  if (machine->recording || !machine->type) return;
-  machine->recording = true;
+  if (machine->lifecycle.recording || !machine->type) return;
+  machine->lifecycle.recording = true;
   MachineRecord record{machine->name, machine->type_name, machine->zone,
                        machine->address, machine->spot};
   // Before anything is placed there, so that a later leader knows of it.
   writer_.Put(keys::Machine(machine->name), wire::EncodeMachineRecord(record),
               {[this, name = machine->name] {
                  if (Machine* m = machines_.Find(name)) {
-                   m->recorded = true;
+                   m->lifecycle.recorded = true;
                    autoscaler_.Settled(name);
                  }
                },
@@ -841,7 +847,7 @@
   }
   f.machines = machines_.all().size();
   for (const auto& [name, machine] : machines_.all())
-    if (machine->baseline) ++f.base_machines;
+    if (machine->role.baseline) ++f.base_machines;
   f.unreconciled = placement_.unreconciled();
   f.base_target_cpus = autoscaler_.base_target_cpus();
   f.predictor_error_s = waiting_.predictor().mean_error_s();
--- a/src/core/engine/actions.h
+++ b/src/core/engine/actions.h
@@ -114,8 +114,8 @@
 using Action =
     std::variant<StateTransaction, StateGet, StateList, StateWatch, LeaseCreate,
                  LeaseRenew, LeaseEnd, FetchCatalog, ProvisionMachines,
-                 ReleaseMachines, ListCloudMachines, PushedCommands, ClientResponse,
-                 HeartbeatResponse, SendPeerStatus, LogEvent>;
+                 ReleaseMachines, ListCloudMachines, PushedCommands,
+                 ClientResponse, HeartbeatResponse, SendPeerStatus, LogEvent>;
 using Actions = std::vector<Action>;
 
 // --- What comes back
--- a/src/core/engine/context.h
+++ b/src/core/engine/context.h
@@ -65,7 +65,8 @@
                                   std::move(machines), not_after});
   }
   void ListMachines(double page_pause_s, CloudCallback done) {
-    out.push_back(ListCloudMachines{ExpectCloud(std::move(done)), page_pause_s});
+    out.push_back(
+        ListCloudMachines{ExpectCloud(std::move(done)), page_pause_s});
   }
   void PushCommands(PushedCommands command, PushCallback done) {
     command.id = next_id_++;
--- a/src/core/machines/machine_table.cc
+++ b/src/core/machines/machine_table.cc
@@ -45,7 +45,7 @@
   cpus_used += attempt.cpus;
   gpus_used += attempt.gpus;
   memory_used += attempt.memory_gb;
-  idle_since = 0;
+  lifecycle.idle_since = 0;
   attempts[key] = std::move(attempt);
 }
 
--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -43,70 +43,103 @@
   bool job_active = true;             // false: its job has ended, it must go
 };
 
-struct Machine {
-  std::string name, address;
-  const MachineType* type = nullptr;
-  std::string type_name, zone;
-  bool spot = false;
-  double rented_at = 0;
-  double came_up_at = 0;  // its first report; 0: not seen by this leader
-
-  bool recorded = false;  // its record is committed: launches may go there
-  bool recording = false;
-  bool token_acknowledged =
-      false;  // showed our token: its report is the whole truth
-  bool from_earlier_term =
-      false;  // an earlier leader may have placed tasks on it
-  bool ever_reported = false;
-  // Known from a record, a rental, the list or our token: not only from a
-  // report that may be a late copy of one of a machine that is gone.
-  bool identity_confirmed = false;
-  bool listed = false;        // seen in the cloud's list by this leader
-  double unlisted_since = 0;  // not in the lists since; 0: it is
-  bool baseline = false;      // part of the steady base, the owned room
-  bool excess = false;        // more than what is needed: to be emptied
-  // Holds replicas, or room that is kept for them: neither idle nor excess.
-  bool for_services = false;
-  bool was_excess = false;   // a moment before
-  bool quarantined = false;  // faulty: drained and returned
-  bool terminating = false;
-  double next_terminate_at = 0;
+// What the leader has heard from a machine, and what it knows to have arrived
+// there. Times are of the steady clock (s).
+struct MachineContact {
+  // Of the latest heartbeat that was applied.
   uint64_t incarnation = 0, sequence = 0;
-  // When it was last heard of, be it in answer to a direct command; and when
-  // its latest report arrived, since only reports fetch launches.
+  // Of the latest heartbeat that was answered, and when that was.
+  uint64_t answered_incarnation = 0, answered_sequence = 0;
+  double last_answered_at = 0;
+  // The latest word of any kind, be it an answer to pushed commands; and the
+  // latest heartbeat, since only heartbeats fetch commands.
   double last_contact_at = 0;
   double last_heartbeat_at = 0;
-  double last_answered_at = 0;  // when we last answered one
-  uint64_t answered_incarnation = 0,
-           answered_sequence = 0;  // that we answered last
-  // When something of ours was last proved to have arrived there. Its reports
-  // alone prove nothing: the way back may be cut.
+  // The latest proof that something of ours arrived. Heartbeats alone prove
+  // nothing: the way back may be cut.
   double last_delivery_proof_at = 0;
-  double delivery_unproven_since =
-      0;                           // answers since then may not have arrived
-  bool unreachable = false;        // for longer than its lease: it is given up
-  double preemption_deadline = 0;  // the cloud takes it then; 0: no notice
-  double idle_since = 0;           // 0: not idle
-  double refused_until = 0;
-  // Set aside for jobs that may be at fault themselves: kept until then, so
-  // that they are tried elsewhere first. 0: it is at fault.
-  double suspect_until = 0;
-  // Errors since something last completed there, by job.
-  std::map<std::string, int> errors;
+  // Answers since then may not have arrived.
+  double delivery_unproven_since = 0;
+  // Heartbeats arrive, but for longer than the worker's lease no answer is
+  // proved to have arrived: it is not answered any more.
+  bool unreachable = false;
+  // Commands pushed to the worker's own address.
   bool push_in_flight = false;
-  int unanswered_pushes = 0;  // unanswered since the last answer
+  int unanswered_pushes = 0;  // since the last one that was answered
   double next_push = 0;
+};
+
+// Whether tasks fail because of the machine.
+struct MachineHealth {
+  bool quarantined = false;  // takes no tasks, and is released
+  // Quarantined for jobs that may be at fault themselves: kept until then, so
+  // that they are tried elsewhere first. 0: the machine is at fault.
+  double suspect_until = 0;
+  double refused_until = 0;  // it refused a start: no tasks until then
+  // Errors by job since something last completed there.
+  std::map<std::string, int> errors;
+};
+
+// From its provisioning to its termination. Times are of the steady clock (s).
+struct MachineLifecycle {
+  double rented_at = 0;
+  double came_up_at = 0;  // its first heartbeat; 0: not seen by this leader
+  // Its record is in the state service (`recorded`) or being written: nothing
+  // is started there before, so that a later leader knows of the machine.
+  bool recorded = false, recording = false;
+  bool ever_reported = false;
+  // It showed this term's fencing token: it obeys no earlier leader any more,
+  // and its heartbeats are the whole truth.
+  bool token_acknowledged = false;
+  // An earlier leader may have started tasks on it that are not known here.
+  bool from_earlier_term = false;
+  // Known from a record, a provisioning request, the cloud's inventory or the
+  // fencing token, and not only from a heartbeat that may be a late copy of one
+  // of a machine that is gone.
+  bool identity_confirmed = false;
+  bool listed = false;        // seen in the cloud's inventory by this leader
+  double unlisted_since = 0;  // 0: it is in the inventory
+  double idle_since = 0;      // 0: not idle
+  double preemption_deadline = 0;  // the cloud takes it then; 0: no notice
+  bool terminating = false;
+  double next_terminate_at = 0;
+};
+
+// What the autoscaler keeps the machine for.
+struct FleetRole {
+  bool baseline = false;    // part of the steady baseline (owned) capacity
+  bool excess = false;      // beyond what is needed: to be drained
+  bool was_excess = false;  // at the previous look
+  // Holds replicas, or headroom for them: neither idle nor excess.
+  bool for_services = false;
+};
+
+// One machine of the fleet, as the leader knows it.
+struct Machine {
+  std::string name, address;
+  const MachineType* type = nullptr;  // null until the catalogue names it
+  std::string type_name, zone;
+  bool spot = false;
+
+  MachineContact contact;
+  MachineHealth health;
+  MachineLifecycle lifecycle;
+  FleetRole role;
+
   std::map<TaskId, TaskAttempt> attempts;
-  // Tasks that ended with `done` and stay until that is written down.
+  // Attempts that completed and stay on the machine until their completion is
+  // in the state service: attempt numbers by task.
   std::map<TaskId, uint64_t> unrecorded_completions;
-  std::vector<std::string> images;    // most recently used last
+  std::vector<std::string> images;    // in its cache, most recently used last
   std::vector<std::string> fetching;  // images on their way there
   double cpus_used = 0, gpus_used = 0, memory_used = 0;
-  // Room that is held for tasks that are about to move there.
+  // Capacity reserved for tasks that are about to move there.
   double reserved_cpus = 0, reserved_gpus = 0, reserved_memory = 0;
-  // Cores in use by team, without those that use none.
+  int reservations = 0;
+  // CPUs in use by team, without teams that use none.
   std::vector<std::pair<std::string, double>> team_cpus;
-  std::vector<double> reserve_slots;  // as Placement has counted them
+  // Free slots for each class that has headroom, as Placement counted them.
+  std::vector<double> reserve_slots;
 
   double cpus() const { return type ? type->cpus : 0; }
   double cpus_free() const {
@@ -126,14 +159,14 @@
   }
   // It reports to this leader and is not about to go: it counts as capacity.
   bool InService() const {
-    return type && token_acknowledged && !terminating && !quarantined &&
-           !unreachable && preemption_deadline == 0;
+    return type && lifecycle.token_acknowledged && !lifecycle.terminating &&
+           !health.quarantined && !contact.unreachable &&
+           lifecycle.preemption_deadline == 0;
   }
   double TeamCpus(const std::string& team) const;
   void ReserveCapacity(double cpus, double gpus, double memory_gb);
   void ReleaseCapacity(double cpus, double gpus, double memory_gb);
   bool HasReservations() const { return reservations > 0; }
-  int reservations = 0;
   void AddAttempt(const TaskId& key, TaskAttempt attempt);
   TaskAttempt RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator it);
   bool HasImage(const std::string& image) const;
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -87,17 +87,17 @@
 }
 
 bool Placement::AcceptsTasks(const Machine& machine) const {
-  return machine.recorded && machine.token_acknowledged &&
-         !machine.quarantined && !machine.terminating &&
-         machine.preemption_deadline == 0 &&
-         context_->now >= machine.refused_until && IsReachable(machine);
+  return machine.lifecycle.recorded && machine.lifecycle.token_acknowledged &&
+         !machine.health.quarantined && !machine.lifecycle.terminating &&
+         machine.lifecycle.preemption_deadline == 0 &&
+         context_->now >= machine.health.refused_until && IsReachable(machine);
 }
 
 bool Placement::IsReachable(const Machine& machine) const {
   const double silence = kSilentHeartbeats * settings_->heartbeat_interval_s;
-  return !machine.unreachable &&
-         context_->now - machine.last_heartbeat_at < silence &&
-         context_->now - machine.last_delivery_proof_at < silence;
+  return !machine.contact.unreachable &&
+         context_->now - machine.contact.last_heartbeat_at < silence &&
+         context_->now - machine.contact.last_delivery_proof_at < silence;
 }
 
 std::optional<uint32_t> Placement::NextTask(const Job& job, bool owned) const {
@@ -125,7 +125,7 @@
   attempt.gpus = spec.gpus;
   attempt.memory_gb = spec.memory_gb;
   attempt.record = job->record;
-  attempt.speculative = !machine->baseline && !job->rented.Contains(task);
+  attempt.speculative = !machine->role.baseline && !job->rented.Contains(task);
   if (const auto moved = job->moved_ran_s.find(task);
       moved != job->moved_ran_s.end()) {
     attempt.ran_before_s = moved->second;
@@ -141,7 +141,7 @@
 
 double Placement::Slots(const Machine& machine, const ClassProfile& usual,
                         double less_cpus, double less_memory_gb) {
-  if (!machine.type || machine.excess ||
+  if (!machine.type || machine.role.excess ||
       !AllowsLocation(usual.spec, *machine.type, machine.zone, machine.spot))
     return 0;
   const double cpus = machine.cpus_free() - less_cpus;
@@ -322,7 +322,7 @@
   const bool at_once = StartsAtOnce(job);
   context_->work += candidates.size();
   for (Machine* machine : candidates) {
-    if (owned_only && !machine->baseline) continue;
+    if (owned_only && !machine->role.baseline) continue;
     if (!machine->Fits(job.spec()) || !IsEligible(job, *machine) ||
         !LeavesReserves(job, *machine) || KeptFor(owed, job, *machine))
       continue;
@@ -330,11 +330,11 @@
     // long beside the task. What is to start at once goes where its image is,
     // and among such machines to the next to report.
     const bool fetch = !machine->HasImage(job.spec().image);
-    const Rank rank{machine->excess,
+    const Rank rank{machine->role.excess,
                     at_once && fetch,
                     ReplicasOn(job, *machine),
-                    at_once ? machine->last_heartbeat_at : 0,
-                    !machine->baseline,
+                    at_once ? machine->contact.last_heartbeat_at : 0,
+                    !machine->role.baseline,
                     spread_ && spread_->WouldCrowd(job, *machine),
                     fetch && LongFetch(job, *machine),
                     machine->cpus_free(),
@@ -399,7 +399,7 @@
   const size_t looked_at = std::min(front.size(), kSampleJobs);
   std::stable_partition(
       candidates->begin(), candidates->end(), [&](const Machine* machine) {
-        return machine->baseline ||
+        return machine->role.baseline ||
                std::any_of(front.begin(),
                            front.begin() + static_cast<ptrdiff_t>(looked_at),
                            [&](const Job* job) {
@@ -442,7 +442,8 @@
 }
 
 void Placement::FillMachine(Machine* machine, uint64_t term) {
-  if (!AcceptsTasks(*machine) || machine->excess || machine->cpus_free() <= 0)
+  if (!AcceptsTasks(*machine) || machine->role.excess ||
+      machine->cpus_free() <= 0)
     return;
   const std::vector<Job*> front = Front();
   if (front.empty()) return;
@@ -454,8 +455,8 @@
     for (Job* job : front) {
       if (KeptFor(owed, *job, *machine)) continue;
       for (const bool owned : {true, false}) {
-        if (owned && !machine->baseline) continue;
-        Put(job, owned, guaranteed, /*even=*/spread_ && !machine->baseline,
+        if (owned && !machine->role.baseline) continue;
+        Put(job, owned, guaranteed, /*even=*/spread_ && !machine->role.baseline,
             machine, term);
       }
       if (machine->cpus_free() <= 0) return;
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -47,8 +47,8 @@
 
 void ReplicaManager::LeaveDepartingMachines() {
   for (auto& [name, machine] : machines_->all()) {
-    if (machine->preemption_deadline == 0) continue;
-    const double left = machine->preemption_deadline - context_->now;
+    if (machine->lifecycle.preemption_deadline == 0) continue;
+    const double left = machine->lifecycle.preemption_deadline - context_->now;
     for (auto& [key, attempt] : machine->attempts) {
       if (attempt.stop || !attempt.job_active ||
           !attempt.record->spec.IsService())
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -10,7 +10,7 @@
   f.cpus = cpus;
   double owned_cpus = 0, used_cpus = 0, owned_gb = 0, used_gb = 0, age = 0;
   for (const auto& [name, machine] : machines_->all()) {
-    if (!machine->baseline || !machine->type) continue;
+    if (!machine->role.baseline || !machine->type) continue;
     owned_cpus += machine->type->cpus;
     owned_gb += machine->type->memory_gb;
     used_cpus += machine->cpus_used;
@@ -42,7 +42,7 @@
 }
 
 void WaitingPolicy::LearnStart(Job* job, const Machine& machine) {
-  if (job->sampled || !machine.baseline || job->features.empty()) return;
+  if (job->sampled || !machine.role.baseline || job->features.empty()) return;
   job->sampled = true;
   FeatureVector features;
   std::copy(job->features.begin(), job->features.end(), features.begin());
@@ -71,7 +71,7 @@
     }
   }
   for (const auto& [name, machine] : machines_->all()) {
-    if (machine->baseline) continue;
+    if (machine->role.baseline) continue;
     for (auto& [key, attempt] : machine->attempts) {
       if (!attempt.speculative || attempt.stop || attempt.running_since == 0 ||
           attempt.ran_before_s + context_->now - attempt.running_since <
--- a/src/core/workers/health_monitor.cc
+++ b/src/core/workers/health_monitor.cc
@@ -24,10 +24,10 @@
 
 void HealthMonitor::OnProcessPause(double gap_s) {
   for (auto& [name, machine] : machines_->all()) {
-    machine->last_contact_at += gap_s;
-    machine->last_heartbeat_at += gap_s;
-    machine->last_delivery_proof_at += gap_s;
-    machine->delivery_unproven_since += gap_s;
+    machine->contact.last_contact_at += gap_s;
+    machine->contact.last_heartbeat_at += gap_s;
+    machine->contact.last_delivery_proof_at += gap_s;
+    machine->contact.delivery_unproven_since += gap_s;
   }
 }
 
@@ -35,12 +35,12 @@
 // proved to have arrived; a slow one is far from that. It is not answered any
 // more. Guards against a machine that swallows tasks which never start.
 void HealthMonitor::MarkUnreachable(Machine* machine) const {
-  const double unproved =
-      machine->last_answered_at - machine->delivery_unproven_since;
-  if (machine->unreachable || !machine->token_acknowledged ||
+  const double unproved = machine->contact.last_answered_at -
+                          machine->contact.delivery_unproven_since;
+  if (machine->contact.unreachable || !machine->lifecycle.token_acknowledged ||
       unproved <= Lease() + Silence())
     return;
-  machine->unreachable = true;
+  machine->contact.unreachable = true;
   context_->Info("machine unreachable: heartbeats arrive, responses do not",
                  {{"machine", machine->name}});
 }
@@ -50,16 +50,18 @@
   Census census;
   for (const auto& [name, machine] : machines_->all()) {
     if (BlocksRecovery(*machine)) ++census.holding;
-    if (!machine->ever_reported || !machine->identity_confirmed) continue;
+    if (!machine->lifecycle.ever_reported ||
+        !machine->lifecycle.identity_confirmed)
+      continue;
     MarkUnreachable(machine.get());
     // One that is neither heard nor listed is a record without a machine.
     // Guards against the lead going round because of such.
-    if (!machine->token_acknowledged && !machine->listed &&
+    if (!machine->lifecycle.token_acknowledged && !machine->lifecycle.listed &&
         autoscaler_->list_known())
       continue;
     ++census.expected;
-    const double quiet_s = context_->now - machine->last_contact_at;
-    if (machine->unreachable || quiet_s > Silence()) ++census.silent;
+    const double quiet_s = context_->now - machine->contact.last_contact_at;
+    if (machine->contact.unreachable || quiet_s > Silence()) ++census.silent;
     if (quiet_s > soon) ++census.quiet;
   }
   return census;
@@ -81,9 +83,11 @@
 bool HealthMonitor::BlocksRecovery(const Machine& machine) const {
   const double unshown = kFailoverHeartbeats * settings_->heartbeat_interval_s +
                          kPushTimeoutS + kPushIntervalS / 2;
-  return machine.from_earlier_term && machine.ever_reported &&
-         !machine.terminating && machine.unanswered_pushes > 0 &&
-         machine.sequence == 0 && context_->now - term_started_at_ > unshown;
+  return machine.lifecycle.from_earlier_term &&
+         machine.lifecycle.ever_reported && !machine.lifecycle.terminating &&
+         machine.contact.unanswered_pushes > 0 &&
+         machine.contact.sequence == 0 &&
+         context_->now - term_started_at_ > unshown;
 }
 
 void HealthMonitor::Watch() {
@@ -101,7 +105,7 @@
   const bool few_silent =
       census.silent <= std::max(1.0, census.expected * kEarlyReleaseMaxShare);
   for (auto& [name, machine] : machines_->all())
-    if (machine->ever_reported)
+    if (machine->lifecycle.ever_reported)
       Inspect(machine.get(), few_silent, few_blocking);
 }
 
@@ -109,20 +113,21 @@
                             bool few_blocking) {
   // Guards against a machine that answers direct commands but reaches no
   // controller: work chosen for it would wait there for a report.
-  const double quiet_s = context_->now - machine->last_heartbeat_at;
+  const double quiet_s = context_->now - machine->contact.last_heartbeat_at;
   // Most show our token in their first two reports after a takeover.
-  const bool stuck = machine->from_earlier_term &&
+  const bool stuck = machine->lifecycle.from_earlier_term &&
                      context_->now - term_started_at_ >
                          kFailoverHeartbeats * settings_->heartbeat_interval_s;
   if ((stuck || quiet_s > Silence()) && !machine->address.empty() &&
-      !machine->push_in_flight && !machine->terminating &&
-      context_->now >= machine->next_push)
+      !machine->contact.push_in_flight && !machine->lifecycle.terminating &&
+      context_->now >= machine->contact.next_push)
     PushToken(machine);
   // Whether or not it reports or is being returned: no earlier leader can have
   // kept its tasks for so long. Guards against one that never shows our token
   // and would hold up every inherited job and count against every limit
   // for ever.
-  if (machine->from_earlier_term && context_->now > EarlierTermTasksUntil()) {
+  if (machine->lifecycle.from_earlier_term &&
+      context_->now > EarlierTermTasksUntil()) {
     context_->Info(
         "fencing token not acknowledged in time: tasks presumed gone",
         {{"machine", machine->name}});
@@ -134,60 +139,61 @@
   }
   // It has spoken, has been answered, and still has not shown our token:
   // nothing reaches it, or its report was a late copy.
-  const bool unheard =
-      !machine->token_acknowledged &&
-      context_->now - machine->last_delivery_proof_at > UnreachableThreshold();
-  if (quiet_s > Silence() || machine->unreachable || unheard)
+  const bool unheard = !machine->lifecycle.token_acknowledged &&
+                       context_->now - machine->contact.last_delivery_proof_at >
+                           UnreachableThreshold();
+  if (quiet_s > Silence() || machine->contact.unreachable || unheard)
     GiveUp(machine, few_silent, unheard);
 }
 
 void HealthMonitor::GiveUp(Machine* machine, bool few_silent, bool unheard) {
   handlers_.remove_planned_attempts(machine);
-  const double lost_at = machine->from_earlier_term
+  const double lost_at = machine->lifecycle.from_earlier_term
                              ? EarlierTermTasksUntil()
-                             : machine->last_answered_at + Lease();
+                             : machine->contact.last_answered_at + Lease();
   if (context_->now > lost_at && !machine->attempts.empty()) {
     context_->Info("worker lease expired: tasks presumed gone",
                    {{"machine", machine->name}});
     handlers_.forget_machine_contents(machine);
   }
-  const double long_lost_at =
-      std::min(machine->last_delivery_proof_at, machine->last_heartbeat_at) +
-      Lease() + kUnreachableReleaseDelayS + 2 * settings_->worker_lease_s;
-  if ((few_silent || !machine->identity_confirmed) &&
-      (machine->unreachable || unheard))
+  const double long_lost_at = std::min(machine->contact.last_delivery_proof_at,
+                                       machine->contact.last_heartbeat_at) +
+                              Lease() + kUnreachableReleaseDelayS +
+                              2 * settings_->worker_lease_s;
+  if ((few_silent || !machine->lifecycle.identity_confirmed) &&
+      (machine->contact.unreachable || unheard))
     autoscaler_->Return(machine, "it does not hear us");
-  else if (few_silent &&
-           context_->now - machine->last_heartbeat_at > UnreachableThreshold())
+  else if (few_silent && context_->now - machine->contact.last_heartbeat_at >
+                             UnreachableThreshold())
     autoscaler_->Return(machine, "it is silent");
   else if (context_->now > lost_at && context_->now > long_lost_at)
     autoscaler_->Return(machine, "it has been out of reach for long");
 }
 
 void HealthMonitor::PushToken(Machine* machine) {
-  machine->push_in_flight = true;
-  machine->next_push = context_->now + kPushIntervalS;
+  machine->contact.push_in_flight = true;
+  machine->contact.next_push = context_->now + kPushIntervalS;
   PushedCommands command;
   command.machine = machine->name;
   command.address = machine->address;
   command.fencing_token = election_->term();
-  command.incarnation = machine->incarnation;
+  command.incarnation = machine->contact.incarnation;
   context_->PushCommands(
       std::move(command), [this, name = machine->name,
                            generation = generation_](const PushResult& result) {
         if (generation != generation_) return;
         Machine* shown = machines_->Find(name);
         if (!shown) return;
-        shown->push_in_flight = false;
+        shown->contact.push_in_flight = false;
         if (!result.answered || result.heartbeat.machine != name) {
-          ++shown->unanswered_pushes;
+          ++shown->contact.unanswered_pushes;
           return;
         }
-        shown->unanswered_pushes = 0;
-        shown->last_delivery_proof_at = context_->now;
+        shown->contact.unanswered_pushes = 0;
+        shown->contact.last_delivery_proof_at = context_->now;
         if (std::make_pair(result.heartbeat.incarnation,
                            result.heartbeat.sequence) >
-            std::make_pair(shown->incarnation, shown->sequence))
+            std::make_pair(shown->contact.incarnation, shown->contact.sequence))
           handlers_.on_heartbeat(shown, result.heartbeat);
       });
 }
--- a/src/core/workers/unreconciled_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -19,10 +19,11 @@
 
 void UnreconciledMachines::Update(const Machine& machine) {
   Remove(machine.name);
-  if (!machine.from_earlier_term && !with_unknown_tasks_.count(machine.name))
+  if (!machine.lifecycle.from_earlier_term &&
+      !with_unknown_tasks_.count(machine.name))
     return;
   Share share;
-  share.from_earlier_term = machine.from_earlier_term;
+  share.from_earlier_term = machine.lifecycle.from_earlier_term;
   share.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
   share.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
   inherited_ += share.from_earlier_term ? 1 : 0;
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -25,7 +25,7 @@
     Machine* machine = machines_.Add(name);
     machine->type = &type_;
     machine->zone = zone;
-    machine->token_acknowledged = true;
+    machine->lifecycle.token_acknowledged = true;
     return machine;
   }
   // A job whose tasks run already on the machine, `count` of them.
@@ -92,7 +92,7 @@
 
 TEST_F(BoundsTest, MachinesThatAreEmptiedDoNotCount) {
   Machine* busy = AddMachine("n-1");
-  AddMachine("n-2")->excess = true;
+  AddMachine("n-2")->role.excess = true;
   Run(busy, 8);
   EXPECT_EQ(CollectStatistics().share, 0);
 }
