--- a/tests/digest_measurement.cc
+++ b/tests/digest_measurement.cc
@@ -13,14 +13,14 @@
 #include <utility>
 #include <vector>
 
-#include "fnv_hash.h"
-#include "scenarios.h"
-#include "world.h"
+#include "simulation/fnv_hash.h"
+#include "simulation/scenarios.h"
+#include "simulation/simulated_cluster.h"
 
 namespace sorrelwood::test {
 namespace {
 
-using Fault = WorldOptions::Fault;
+using Fault = SimulationOptions::Fault;
 
 constexpr uint64_t kSeedsPerScenario = 2;
 constexpr uint64_t kSeedsWithSpread = 1;
@@ -30,7 +30,7 @@
 
 struct DigestRun {
   std::string scenario;
-  WorldOptions options;
+  SimulationOptions options;
 };
 
 struct DigestResult {
@@ -41,36 +41,36 @@
 };
 
 // Scenarios that the seeded tests leave out, or play in tests of their own.
-std::vector<std::pair<std::string, WorldOptions>> MoreScenarios() {
-  WorldOptions operator_defaults;
+std::vector<std::pair<std::string, SimulationOptions>> MoreScenarios() {
+  SimulationOptions operator_defaults;
   operator_defaults.jobs = 40;
   operator_defaults.broken_share = 0.2;
   operator_defaults.faults = {{60, Fault::kCrashLeader, 0, 3},
                               {80, Fault::kMachineSick, 0, 0}};
 
-  WorldOptions eager = operator_defaults;
+  SimulationOptions eager = operator_defaults;
   eager.policy.speculation_s = 4;
   eager.policy.wait_limit_s = 5;
   eager.policy.hold_s = 2;
   eager.policy.drain_s = 5;
   eager.policy.refit_s = 20;
 
-  WorldOptions on_demand_only = operator_defaults;
+  SimulationOptions on_demand_only = operator_defaults;
   on_demand_only.policy.use_spot = false;
 
-  WorldOptions limits_fall = operator_defaults;
+  SimulationOptions limits_fall = operator_defaults;
   limits_fall.nodes = 5;
   limits_fall.roll_at_s = 15;
   limits_fall.limits_fall_at_s = 50;
   limits_fall.long_array = true;
   limits_fall.rate_limits = true;
 
-  WorldOptions idle;
+  SimulationOptions idle;
   idle.jobs = 6;
   idle.submit_until_s = 20;
   idle.duration_s = 500;
 
-  WorldOptions fleet;
+  SimulationOptions fleet;
   fleet.fleet = true;
   fleet.fleet_scale = 0.2;
   fleet.jobs = 24;
@@ -90,8 +90,8 @@
           {"fleet", fleet}};
 }
 
-void AddSeeds(const std::string& name, WorldOptions options, uint64_t seeds,
-              std::vector<DigestRun>* runs) {
+void AddSeeds(const std::string& name, SimulationOptions options,
+              uint64_t seeds, std::vector<DigestRun>* runs) {
   options.debug_log = true;
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     options.seed = seed;
@@ -99,9 +99,9 @@
   }
 }
 
-void AddWithSpread(const std::string& name, const WorldOptions& usual,
+void AddWithSpread(const std::string& name, const SimulationOptions& usual,
                    Spread spread, std::vector<DigestRun>* runs) {
-  WorldOptions options = WithSpread(usual);
+  SimulationOptions options = WithSpread(usual);
   options.policy.spread.moves = spread == Spread::kPlacementAndMoves;
   AddSeeds(name + (options.policy.spread.moves ? "+moves" : "+placement"),
            std::move(options), kSeedsWithSpread, runs);
@@ -110,7 +110,8 @@
 // Moves depend on the order of addresses in memory (ImbalanceMeter::Place), so
 // that runs with them don't repeat themselves; they are played only on request.
 std::vector<DigestRun> AllRuns(bool with_moves) {
-  std::vector<std::pair<std::string, WorldOptions>> scenarios = MoreScenarios();
+  std::vector<std::pair<std::string, SimulationOptions>> scenarios =
+      MoreScenarios();
   for (const Scenario& scenario : Scenarios())
     scenarios.emplace_back(scenario.name, scenario.options);
   std::vector<DigestRun> runs;
@@ -124,13 +125,13 @@
 }
 
 DigestResult Play(const DigestRun& run) {
-  World world(run.options);
-  world.Run();
+  SimulatedCluster cluster(run.options);
+  cluster.Run();
   DigestResult result;
-  result.actions = world.digest();
-  result.lines = world.log_summary().counts();
-  result.log_text = world.log_summary().text_digest();
-  result.broken_rules = world.broken().size();
+  result.actions = cluster.digest();
+  result.lines = cluster.log_summary().counts();
+  result.log_text = cluster.log_summary().text_digest();
+  result.broken_rules = cluster.violations().size();
   return result;
 }
 
--- a/tests/scale_measurement.cc
+++ b/tests/scale_measurement.cc
@@ -5,7 +5,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "world.h"
+#include "simulation/simulated_cluster.h"
 
 namespace sorrelwood::test {
 namespace {
@@ -13,8 +13,8 @@
 constexpr int kMachinesAtScaleOne = 1500;
 constexpr int kJobsAtScaleOne = 120;
 
-WorldOptions Autoscaler(double scale) {
-  WorldOptions options;
+SimulationOptions Autoscaler(double scale) {
+  SimulationOptions options;
   options.fleet = true;
   options.fleet_scale = scale;
   options.nodes = 3;
@@ -22,17 +22,17 @@
   options.submit_until_s = 100;
   options.duration_s = 160;
   options.check_every = 1000000;
-  options.faults = {{90, WorldOptions::Fault::kCrashLeader, 0, 3}};
+  options.faults = {{90, SimulationOptions::Fault::kCrashLeader, 0, 3}};
   return options;
 }
 
 void CollectStatistics(int machines) {
   const double scale = static_cast<double>(machines) / kMachinesAtScaleOne;
-  World world(Autoscaler(scale));
-  world.Run();
-  const World::Cost& cost = world.cost();
+  SimulatedCluster cluster(Autoscaler(scale));
+  cluster.Run();
+  const SimulatedCluster::Cost& cost = cluster.cost();
   std::printf("%8d %8d %9llu %12.1f %10.2f\n", machines,
-              world.machines_rented(),
+              cluster.machines_rented(),
               static_cast<unsigned long long>(cost.reports),
               cost.PerHeartbeat() * 1e6, cost.most_s * 1e3);
 }
--- a/tests/action_digest.cc
+++ b/tests/simulation/action_digest.cc
@@ -1,4 +1,4 @@
-#include "action_digest.h"
+#include "simulation/action_digest.h"
 
 #include <variant>
 
--- a/tests/log_summary.cc
+++ b/tests/simulation/log_summary.cc
@@ -1,4 +1,4 @@
-#include "log_summary.h"
+#include "simulation/log_summary.h"
 
 #include <string>
 
--- a/tests/log_summary.h
+++ b/tests/simulation/log_summary.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 
 #include "core/engine/actions.h"
-#include "fnv_hash.h"
+#include "simulation/fnv_hash.h"
 
 namespace sorrelwood::test {
 
--- a/tests/scenarios.cc
+++ b/tests/simulation/scenarios.cc
@@ -1,4 +1,4 @@
-#include "scenarios.h"
+#include "simulation/scenarios.h"
 
 #include <algorithm>
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace sorrelwood::test {
 
-using Fault = WorldOptions::Fault;
+using Fault = SimulationOptions::Fault;
 
 Scenario MakeScenario(const char* name, bool all_done,
                       std::vector<Fault> faults, double noise) {
@@ -223,7 +223,7 @@
   };
   for (Scenario& s : all) {
     const std::string name = s.name;
-    WorldOptions& o = s.options;
+    SimulationOptions& o = s.options;
     o.nodes = 5;
     s.seeds = name == "single_jobs" ? 4 : 16;  // some take a second each
     if (name != "single_jobs" && name != "cancelled_at_the_end" &&
@@ -328,7 +328,7 @@
   };
   for (Scenario& s : all) {
     const std::string name = s.name;
-    WorldOptions& o = s.options;
+    SimulationOptions& o = s.options;
     s.seeds = 10;
     o.nodes = 5;
     o.services = 4;
@@ -523,7 +523,7 @@
   all.back().options.report_copy = 0.05;
   for (Scenario& s : all) {
     const std::string name = s.name;
-    WorldOptions& o = s.options;
+    SimulationOptions& o = s.options;
     if (name == "cancels" || name == "stale_news") o.cancel_share = 0.8;
     if (name == "stale_news") o.watch_delay_s = 4;
     if (name == "old_leader_and_cancels") {
@@ -559,7 +559,7 @@
   return all;
 }
 
-WorldOptions WithSpread(WorldOptions options) {
+SimulationOptions WithSpread(SimulationOptions options) {
   SpreadSettings& spread = options.policy.spread;
   spread.placement = spread.moves = true;
   spread.begin_imbalance = 0.04;
--- a/tests/world.cc
+++ b/tests/simulation/simulated_cluster.cc
@@ -1,4 +1,4 @@
-#include "world.h"
+#include "simulation/simulated_cluster.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-struct World::Node {
+struct SimulatedCluster::Node {
   std::unique_ptr<Controller> controller;
   int life = 0;  // counts processes of this node
   bool up = false;
@@ -36,7 +36,7 @@
   double silent_until = 0;   // its network is gone
 };
 
-struct World::SimTask {
+struct SimulatedCluster::SimTask {
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
@@ -47,7 +47,7 @@
   uint64_t timer = 0;  // events of an earlier state are ignored
 };
 
-struct World::Worker {
+struct SimulatedCluster::Worker {
   std::string name, type, zone;
   bool spot = false, up = false, gone = false, failed = false, sick = false;
   double booted_at = 0, rented_at = 0, listed_from = 0;
@@ -66,7 +66,7 @@
   std::map<TaskId, SimTask> tasks;
 };
 
-struct World::User {
+struct SimulatedCluster::User {
   JobSpec spec;
   double run_s = 10;
   double cancel_at = 0;
@@ -84,7 +84,7 @@
   double waits_since = 0;  // beside room that fits; 0: it does not
 };
 
-World::World(const WorldOptions& options)
+SimulatedCluster::SimulatedCluster(const SimulationOptions& options)
     : options_(options), rng_(options.seed) {
   settings_.teams = {{"blue", 12, 24, 0, 0}, {"green", 16, 36, 0, 0}};
   settings_.heartbeat_interval_s = 1.5;
@@ -195,16 +195,16 @@
     settings_.state_next = options_.limits_after;
     troubles_over_ = options_.limits_fall_at_s;
   }
-  for (const WorldOptions::Fault& fault : options_.faults) {
+  for (const SimulationOptions::Fault& fault : options_.faults) {
     troubles_over_ =
         std::max(troubles_over_, fault.at_s + fault.for_s + fault.restart_s);
-    At(fault.at_s, [this, fault] { Strike(fault); });
+    At(fault.at_s, [this, fault] { InjectFault(fault); });
   }
 }
 
 // NOLINTNEXTLINE(readability-function-size): one case for each kind of fault.
-void World::Strike(const WorldOptions::Fault& fault) {
-  using F = WorldOptions::Fault;
+void SimulatedCluster::InjectFault(const SimulationOptions::Fault& fault) {
+  using F = SimulationOptions::Fault;
   std::vector<Worker*> up;
   for (auto& [name, worker] : workers_)
     if (worker->up && !worker->gone && !worker->failed)
@@ -341,9 +341,9 @@
   }
 }
 
-World::~World() = default;
+SimulatedCluster::~SimulatedCluster() = default;
 
-void World::AddServices() {
+void SimulatedCluster::AddServices() {
   for (int i = 0; i < options_.services; ++i) {
     JobSpec spec;
     spec.id = "job-4" + std::to_string(10000 + i);
@@ -367,7 +367,7 @@
   At(1, [this] { CheckReplicas(); });
 }
 
-void World::AddLongArray() {
+void SimulatedCluster::AddLongArray() {
   JobSpec spec;
   spec.id = "job-500000";
   spec.job_class = "long array";
@@ -383,7 +383,7 @@
   AddJob(10, spec, 2);
 }
 
-void World::AddBurst() {
+void SimulatedCluster::AddBurst() {
   for (int i = 0; i < options_.burst_jobs; ++i) {
     JobSpec spec;
     spec.id = "job-6" + std::to_string(10000 + i);
@@ -403,7 +403,7 @@
   }
 }
 
-double World::MeanImbalance(double from_s, double until_s) const {
+double SimulatedCluster::MeanImbalance(double from_s, double until_s) const {
   double sum = 0, count = 0;
   for (const auto& [second, imbalance] : imbalance_at_) {
     if (second < from_s || second >= until_s) continue;
@@ -413,14 +413,14 @@
   return count == 0 ? 0 : sum / count;
 }
 
-double World::machine_s() const {
+double SimulatedCluster::machine_s() const {
   double seconds = 0;
   for (const auto& [name, worker] : workers_)
     seconds += (worker->gone ? worker->gone_at : now_) - worker->rented_at;
   return seconds;
 }
 
-double World::MeanJobTime() const {
+double SimulatedCluster::MeanJobTime() const {
   double sum = 0, count = 0;
   for (const auto& [id, user] : users_) {
     if (user->told_done == 0) continue;
@@ -431,7 +431,7 @@
 }
 
 // Each term of a leader counts anew.
-void World::CountMoves(const Rebalancer::Statistics& moves) {
+void SimulatedCluster::CountMoves(const Rebalancer::Statistics& moves) {
   const auto news = [](uint64_t now, uint64_t before) {
     return now >= before ? now - before : now;
   };
@@ -444,7 +444,7 @@
 }
 
 // One node after the other is killed and comes back new.
-void World::Roll() {
+void SimulatedCluster::Roll() {
   for (int i = 0; i < options_.nodes; ++i)
     At(options_.roll_at_s + i * options_.roll_every_s, [this, i] {
       nodes_[i]->old_version = false;
@@ -453,7 +453,7 @@
   troubles_over_ = options_.roll_at_s + options_.nodes * options_.roll_every_s;
 }
 
-int World::services_left() const {
+int SimulatedCluster::services_left() const {
   return static_cast<int>(
       std::count_if(users_.begin(), users_.end(), [](const auto& item) {
         const User& user = *item.second;
@@ -462,14 +462,14 @@
       }));
 }
 
-bool World::SomeProgressInParts() const {
+bool SimulatedCluster::SomeProgressInParts() const {
   return std::any_of(changes_.begin(), changes_.end(), [](const Change& c) {
     return c.item.key.compare(0, 12, "sw/progress/") == 0 &&
            c.item.key.find('.') != std::string::npos;
   });
 }
 
-void World::BecomeFleet() {
+void SimulatedCluster::BecomeFleet() {
   settings_.heartbeat_interval_s = 4;
   settings_.worker_lease_s = 22;
   settings_.cancel_deadline_s = 47;
@@ -491,15 +491,15 @@
 }
 
 // Arrays as a fleet has them; long enough together to need all of it.
-JobSpec World::FleetJob(JobSpec spec) {
+JobSpec SimulatedCluster::FleetJob(JobSpec spec) {
   spec.tasks = rng_() % 8 == 0 ? 1500 + static_cast<uint32_t>(rng_() % 1501)
                                : 20 + static_cast<uint32_t>(rng_() % 300);
   spec.types.clear();
   return spec;
 }
 
-void World::AddJob(double at_s, JobSpec spec, double run_s,
-                   double cancel_at_s) {
+void SimulatedCluster::AddJob(double at_s, JobSpec spec, double run_s,
+                              double cancel_at_s) {
   const std::string id = spec.id;
   auto user = std::make_unique<User>();
   user->spec = std::move(spec);
@@ -510,11 +510,11 @@
   if (cancel_at_s > 0) At(cancel_at_s, [this, id] { CancelJob(id); });
 }
 
-void World::At(double time, Event event) {
+void SimulatedCluster::At(double time, Event event) {
   events_.push({time, event_order_++, std::move(event)});
 }
 
-void World::Run() {
+void SimulatedCluster::Run() {
   while (!events_.empty() && events_.top().time <= options_.duration_s) {
     Queued next = events_.top();
     events_.pop();
@@ -522,7 +522,7 @@
     ExpireLeases();
     next.event();
     if (++steps_ % options_.check_every == 0) CheckStep();
-    if (broken_.size() > 20) return;
+    if (violations_.size() > 20) return;
   }
   CheckServed();
 }
@@ -530,7 +530,7 @@
 // --- Nodes
 // -----------------------------------------------------------------------
 
-void World::StartNode(int index) {
+void SimulatedCluster::StartNode(int index) {
   Node& node = *nodes_[index];
   ClusterSettings settings = settings_;
   settings.node = "node-" + std::to_string(index);
@@ -544,7 +544,7 @@
   TickNode(index, node.life);
 }
 
-void World::CrashNode(int index, double restart_s) {
+void SimulatedCluster::CrashNode(int index, double restart_s) {
   Node& node = *nodes_[index];
   if (!node.up) return;
   node.up = false;
@@ -555,7 +555,7 @@
 }
 
 template <typename Input>
-void World::Feed(int index, int life, Input input) {
+void SimulatedCluster::Feed(int index, int life, Input input) {
   Node& node = *nodes_[index];
   if (!node.up || node.life != life) return;
   if (now_ < node.stopped_until) {  // it piles up, and is taken in turn
@@ -576,11 +576,11 @@
   Handle(index, std::move(actions));
 }
 
-double World::Clock(int index) const {
+double SimulatedCluster::Clock(int index) const {
   return now_ * nodes_[index]->drift + 100.0 * index;
 }
 
-void World::Leave(int index, const Event& event) {
+void SimulatedCluster::Leave(int index, const Event& event) {
   constexpr double kLaneS = 0.003;
   const int life = nodes_[index]->life;
   After(kLaneS, [this, index, life, event] {
@@ -593,7 +593,7 @@
   });
 }
 
-void World::TickNode(int index, int life) {
+void SimulatedCluster::TickNode(int index, int life) {
   if (nodes_[index]->life != life) return;
   if (now_ < nodes_[index]->stopped_until) {
     At(nodes_[index]->stopped_until,
@@ -621,7 +621,7 @@
   After(0.05 + 0.05 * Random(), [this, index, life] { TickNode(index, life); });
 }
 
-int World::LeaderIndex() const {
+int SimulatedCluster::LeaderIndex() const {
   for (int i = 0; i < options_.nodes; ++i)
     if (nodes_[i]->up && nodes_[i]->controller->CollectStatistics().leading)
       return i;
@@ -629,7 +629,7 @@
 }
 
 // A machine that is well but was released as faulty.
-void World::CountWrongRelease(const LogEvent& event) {
+void SimulatedCluster::CountWrongRelease(const LogEvent& event) {
   if (event.message != "releasing machine") return;
   std::map<std::string, std::string> fields;
   for (const LogField& field : event.fields)
@@ -639,7 +639,7 @@
   if (it != workers_.end() && !it->second->sick) ++wrongly_returned_;
 }
 
-void World::Handle(int index, Actions actions) {
+void SimulatedCluster::Handle(int index, Actions actions) {
   for (Action& action : actions) {
     digest_.Add(index, action);
     if (const auto* event = std::get_if<LogEvent>(&action)) {
@@ -649,7 +649,7 @@
     }
     if (std::holds_alternative<ReleaseMachines>(action) &&
         !nodes_[index]->controller->CollectStatistics().may_dispatch)
-      Break("a leader whose lease is in doubt returns machines");
+      ReportViolation("a leader whose lease is in doubt returns machines");
     Leave(index, [this, index, action = std::move(action)] {
       Perform(index, action);
     });
@@ -659,7 +659,7 @@
 // As the cloud's client does: what was decided before a stop is not sent after
 // the leave to act has ended.
 template <typename Request>
-bool World::TooLate(int index, const Request& request) {
+bool SimulatedCluster::TooLate(int index, const Request& request) {
   if (Clock(index) <= request.not_after) return false;
   CloudResult result;
   result.id = request.id;
@@ -672,7 +672,7 @@
   return true;
 }
 
-void World::Perform(int index, Action action) {
+void SimulatedCluster::Perform(int index, Action action) {
   const int life = nodes_[index]->life;
   const bool silent = now_ < nodes_[index]->silent_until;
   if (auto* t = std::get_if<StateTransaction>(&action)) {
@@ -809,12 +809,12 @@
 // --- State service
 // -----------------------------------------------------------------
 
-bool World::StateDown(int node) const {
+bool SimulatedCluster::StateDown(int node) const {
   return now_ < state_down_until_ || now_ < nodes_[node]->refused_until;
 }
 
 template <typename Request>
-void World::AskState(int node, const Request& request, bool) {
+void SimulatedCluster::AskState(int node, const Request& request, bool) {
   const int life = nodes_[node]->life;
   const auto give = [this, node, life](const StateResult& result) {
     Feed(node, life, [result](Controller& c, Controller::Time time) {
@@ -883,7 +883,7 @@
   });
 }
 
-void World::ApplyOp(const Mutation& op) {
+void SimulatedCluster::ApplyOp(const Mutation& op) {
   KeyValue item;
   item.key = op.key;
   item.version = revision_;
@@ -897,7 +897,7 @@
   changes_.push_back({revision_, item});
 }
 
-StateResult World::Serve(const StateTransaction& request) {
+StateResult SimulatedCluster::Serve(const StateTransaction& request) {
   StateResult result;
   if (const StateRefusal refusal = OverLimits(request);
       refusal != StateRefusal::kNone) {
@@ -930,7 +930,7 @@
   return result;
 }
 
-StateRefusal World::OverLimits(const StateTransaction& request) {
+StateRefusal SimulatedCluster::OverLimits(const StateTransaction& request) {
   const bool fallen =
       options_.limits_fall_at_s > 0 && now_ >= options_.limits_fall_at_s;
   const StateLimits limits =
@@ -944,11 +944,12 @@
       continue;
     large = true;
     if (++too_large_[op.key + op.value] == 8)
-      Break("a value that is never taken is tried again and again: " + op.key);
+      ReportViolation("a value that is never taken is tried again and again: " +
+                      op.key);
   }
   if (request.mutations.size() > most ||
       request.preconditions.size() > 4 * most)
-    Break("a transaction over the state service's limits");
+    ReportViolation("a transaction over the state service's limits");
   if (large) {
     ++refused_for_size_;
     return StateRefusal::kTooLarge;
@@ -966,7 +967,7 @@
   return StateRefusal::kTooManyChanges;
 }
 
-StateResult World::Serve(const StateGet& request) {
+StateResult SimulatedCluster::Serve(const StateGet& request) {
   StateResult result;
   auto it = keys_.find(request.key);
   result.outcome = it == keys_.end() ? Outcome::kConflict : Outcome::kOk;
@@ -977,7 +978,7 @@
   return result;
 }
 
-StateResult World::Serve(const StateList& request) {
+StateResult SimulatedCluster::Serve(const StateList& request) {
   StateResult result;
   for (auto it = keys_.lower_bound(request.prefix);
        it != keys_.end() &&
@@ -990,7 +991,7 @@
   return result;
 }
 
-StateResult World::Serve(const LeaseCreate& request) {
+StateResult SimulatedCluster::Serve(const LeaseCreate& request) {
   StateResult result;
   result.outcome = Outcome::kOk;
   result.lease = next_lease_++;
@@ -998,7 +999,7 @@
   return result;
 }
 
-StateResult World::Serve(const LeaseRenew& request) {
+StateResult SimulatedCluster::Serve(const LeaseRenew& request) {
   StateResult result;
   auto it = leases_.find(request.lease);
   result.outcome = it == leases_.end() ? Outcome::kConflict : Outcome::kOk;
@@ -1006,7 +1007,7 @@
   return result;
 }
 
-void World::ExpireLeases() {
+void SimulatedCluster::ExpireLeases() {
   if (now_ < state_down_until_) return;
   for (auto it = leases_.begin(); it != leases_.end();) {
     if (now_ < it->second.until) {
@@ -1025,7 +1026,7 @@
   }
 }
 
-StateResult World::WatchAnswer(const StateWatch& watch) const {
+StateResult SimulatedCluster::WatchAnswer(const StateWatch& watch) const {
   StateResult result;
   result.id = watch.id;
   result.outcome = Outcome::kOk;
@@ -1039,7 +1040,7 @@
   return result;
 }
 
-void World::AnswerWatchers() {
+void SimulatedCluster::AnswerWatchers() {
   for (size_t i = 0; i < watchers_.size();) {
     const Watcher watcher = watchers_[i];
     if (StateDown(watcher.node) || now_ < nodes_[watcher.node]->silent_until) {
@@ -1066,7 +1067,7 @@
 // ---------------------------------------------------------------------------
 
 template <typename Request>
-void World::AskCloud(int node, const Request& request) {
+void SimulatedCluster::AskCloud(int node, const Request& request) {
   const int life = nodes_[node]->life;
   if (now_ < nodes_[node]->silent_until) {
     At(nodes_[node]->silent_until, [this, request] {
@@ -1107,20 +1108,20 @@
   });
 }
 
-CloudResult World::Serve(const FetchCatalog&) {
+CloudResult SimulatedCluster::Serve(const FetchCatalog&) {
   CloudResult result;
   result.outcome = Outcome::kOk;
   result.types = types_;
   return result;
 }
 
-CloudResult World::Serve(const ProvisionMachines& request) {
+CloudResult SimulatedCluster::Serve(const ProvisionMachines& request) {
   CloudResult result;
   const ProvisioningRecord& rent = request.rent;
   // The record must be there before the call, whoever sends it.
   if (!keys_.count("sw/rent/" + rent.name) && !rents_.count(rent.name) &&
       options_.late == 0 && options_.repeat == 0)
-    Break("a rental without a record: " + rent.name);
+    ReportViolation("a rental without a record: " + rent.name);
   if (auto known = rents_.find(rent.name); known != rents_.end()) {
     result.outcome = Outcome::kOk;
     result.machines = known->second;
@@ -1173,7 +1174,7 @@
   return result;
 }
 
-CloudResult World::Serve(const ReleaseMachines& request) {
+CloudResult SimulatedCluster::Serve(const ReleaseMachines& request) {
   for (const std::string& name : request.machines) Kill(name);
   CloudResult result;
   result.outcome = Outcome::kOk;
@@ -1181,7 +1182,7 @@
   return result;
 }
 
-CloudResult World::Serve(const ListCloudMachines&) {
+CloudResult SimulatedCluster::Serve(const ListCloudMachines&) {
   CloudResult result;
   result.outcome = Outcome::kOk;
   for (const auto& [name, worker] : workers_) {
@@ -1206,7 +1207,7 @@
 // --- Workers
 // -----------------------------------------------------------------------------
 
-void World::Boot(const std::string& name) {
+void SimulatedCluster::Boot(const std::string& name) {
   Worker& worker = *workers_[name];
   if (worker.gone) return;
   worker.up = true;
@@ -1216,7 +1217,7 @@
   WorkerLoop(name);
 }
 
-void World::Kill(const std::string& name) {
+void SimulatedCluster::Kill(const std::string& name) {
   auto it = workers_.find(name);
   if (it == workers_.end() || it->second->gone) return;
   Worker& worker = *it->second;
@@ -1228,7 +1229,7 @@
               (worker.spot ? "1" : "0")];
 }
 
-void World::OnNewIncarnation(Worker& worker) {
+void SimulatedCluster::OnNewIncarnation(Worker& worker) {
   ++worker.incarnation;
   worker.sequence = 0;
   worker.lease_from = now_;
@@ -1236,9 +1237,9 @@
   worker.changed = true;
 }
 
-void World::LoseAll(Worker& worker) { worker.tasks.clear(); }
+void SimulatedCluster::LoseAll(Worker& worker) { worker.tasks.clear(); }
 
-bool World::Reachable(int node, const Worker& worker) const {
+bool SimulatedCluster::Reachable(int node, const Worker& worker) const {
   if (now_ < worker.silent_until) return false;
   if (now_ < nodes_[node]->cut_from_workers_until ||
       now_ < nodes_[node]->silent_until)
@@ -1246,7 +1247,7 @@
   return now_ >= zone_cut_until_ || nodes_[node]->zone == worker.zone;
 }
 
-void World::WorkerLoop(const std::string& name) {
+void SimulatedCluster::WorkerLoop(const std::string& name) {
   Worker& worker = *workers_[name];
   if (!worker.up) return;
   After(0.1, [this, name] { WorkerLoop(name); });
@@ -1266,7 +1267,7 @@
     SendHeartbeat(worker);
 }
 
-Heartbeat World::MakeHeartbeat(Worker& worker) {
+Heartbeat SimulatedCluster::MakeHeartbeat(Worker& worker) {
   Heartbeat heartbeat;
   heartbeat.machine = worker.name;
   heartbeat.address = worker.name + ":1";
@@ -1284,7 +1285,7 @@
   return heartbeat;
 }
 
-void World::SendHeartbeat(Worker& worker) {
+void SimulatedCluster::SendHeartbeat(Worker& worker) {
   worker.in_flight = true;
   worker.changed = false;
   worker.last_heartbeat_at = now_;
@@ -1325,7 +1326,8 @@
     After(1 + 40 * Random(), deliver);
 }
 
-void World::Execute(Worker& worker, const std::vector<Command>& commands) {
+void SimulatedCluster::Execute(Worker& worker,
+                               const std::vector<Command>& commands) {
   for (const Command& command : commands) {
     const TaskId key{command.job, command.task};
     auto it = worker.tasks.find(key);
@@ -1341,8 +1343,8 @@
           // be so old, and the answer on its way for so long.
           if (now_ > user->second->told_cancelled + kDispatchMaxCacheAgeS +
                          kHeartbeatAnswerTimeoutS + 0.5)
-            Break("ran_cancelled: " + command.job +
-                  " is launched long after it was cancelled");
+            ReportViolation("ran_cancelled: " + command.job +
+                            " is launched long after it was cancelled");
         }
         StartTask(worker, command);
         break;
@@ -1373,8 +1375,8 @@
           if (it->second.reason == ExitReason::kDone &&
               !users_[command.job]->spec.IsService() &&
               !WrittenDown(command.job, command.task))
-            Break("cleared before it was written down: " + command.job + "/" +
-                  std::to_string(command.task));
+            ReportViolation("cleared before it was written down: " +
+                            command.job + "/" + std::to_string(command.task));
           worker.tasks.erase(it);
         }
         break;
@@ -1382,7 +1384,8 @@
   }
 }
 
-bool World::WrittenDown(const std::string& job, uint32_t task) const {
+bool SimulatedCluster::WrittenDown(const std::string& job,
+                                   uint32_t task) const {
   if (keys_.count("sw/w/final/" + job)) return true;
   // Four tasks a digit, the first in the lowest bit.
   const std::string prefix = "sw/progress/" + job + "/";
@@ -1399,7 +1402,8 @@
   return false;
 }
 
-void World::EndTask(Worker& worker, SimTask& task, ExitReason reason) {
+void SimulatedCluster::EndTask(Worker& worker, SimTask& task,
+                               ExitReason reason) {
   task.state = TaskState::kExited;
   task.reason = reason;
   ++task.timer;
@@ -1414,7 +1418,7 @@
   }
 }
 
-void World::StartTask(Worker& worker, const Command& command) {
+void SimulatedCluster::StartTask(Worker& worker, const Command& command) {
   const TaskId key{command.job, command.task};
   SimTask task;
   task.job = command.job;
@@ -1453,8 +1457,8 @@
         });
 }
 
-void World::TaskHasImage(const std::string& machine, const TaskId& key,
-                         uint64_t attempt) {
+void SimulatedCluster::TaskHasImage(const std::string& machine,
+                                    const TaskId& key, uint64_t attempt) {
   Worker& worker = *workers_[machine];
   if (!worker.up) return;
   auto it = worker.tasks.find(key);
@@ -1508,8 +1512,8 @@
         });
 }
 
-void World::PlanReplicaEnd(const std::string& machine, const TaskId& key,
-                           uint64_t timer) {
+void SimulatedCluster::PlanReplicaEnd(const std::string& machine,
+                                      const TaskId& key, uint64_t timer) {
   const User& user = *users_[key.job];
   const Worker& worker = *workers_[machine];
   if (user.spins) ++spins_;
@@ -1536,14 +1540,14 @@
   });
 }
 
-size_t World::machines_left() const {
+size_t SimulatedCluster::machines_left() const {
   size_t count = 0;
   for (const auto& [name, worker] : workers_)
     if (!worker->gone) ++count;
   return count;
 }
 
-std::string World::Unfinished() const {
+std::string SimulatedCluster::Unfinished() const {
   std::string text;
   for (const auto& [id, user] : users_) {
     if (user->over) continue;
@@ -1561,11 +1565,11 @@
 // --- Users
 // -------------------------------------------------------------------------------
 
-bool World::Hears(int node) const {
+bool SimulatedCluster::Hears(int node) const {
   return nodes_[node]->up && now_ >= nodes_[node]->silent_until;
 }
 
-void World::SubmitJob(const std::string& id) {
+void SimulatedCluster::SubmitJob(const std::string& id) {
   User& user = *users_[id];
   if (user.accepted) return;
   user.submitted = true;
@@ -1580,7 +1584,7 @@
   After(1.5 + Random(), [this, id] { SubmitJob(id); });
 }
 
-void World::PollJob(const std::string& id) {
+void SimulatedCluster::PollJob(const std::string& id) {
   User& user = *users_[id];
   const int node = static_cast<int>(rng_() % nodes_.size());
   const uint64_t request = next_request_++;
@@ -1605,7 +1609,7 @@
         [this, id] { PollJob(id); });
 }
 
-void World::CancelJob(const std::string& id) {
+void SimulatedCluster::CancelJob(const std::string& id) {
   User& user = *users_[id];
   if (user.told_cancelled > 0 || user.told_done > 0) return;
   if (!user.accepted) {
@@ -1624,7 +1628,7 @@
   After(2, [this, id] { CancelJob(id); });
 }
 
-void World::UserAnswer(const ClientResponse& answer) {
+void SimulatedCluster::UserAnswer(const ClientResponse& answer) {
   auto it = asked_.find(answer.request);
   if (it == asked_.end() || it->second.answered) return;
   it->second.answered = true;
@@ -1633,9 +1637,9 @@
     if (asked.kind == Asked::kSubmit) {
       if (answer.status == 422) ++refused_odd_jobs_;
       if (answer.status == 200 || answer.status == 201)
-        Break("accepted though it can't run: " + asked.job);
+        ReportViolation("accepted though it can't run: " + asked.job);
     } else if (answer.status == 200) {
-      Break("invented: " + asked.job);
+      ReportViolation("invented: " + asked.job);
     }
     return;
   }
@@ -1643,9 +1647,9 @@
   const std::string& id = asked.job;
   // A question asked before the acceptance was told may be answered after it.
   if (answer.status == 404 && user.accepted && asked.at > user.accepted_at)
-    Break("forgotten: " + id + " was accepted and got 404");
+    ReportViolation("forgotten: " + id + " was accepted and got 404");
   if ((answer.status == 400 || answer.status == 422) && user.accepted)
-    Break("forgotten: " + id + " was accepted and refused later");
+    ReportViolation("forgotten: " + id + " was accepted and refused later");
   const bool close = now_ < close_until_;
   if (answer.status != 200 && answer.status != 201) {
     // It may have been recorded all the same.
@@ -1656,8 +1660,8 @@
   }
   user.last_answer = now_;
   if (answer.status == 201 && user.accepted && asked.at > user.accepted_at)
-    Break("forgotten: " + id + " is accepted a second time");
-  if (!user.submitted) Break("invented: " + id);
+    ReportViolation("forgotten: " + id + " is accepted a second time");
+  if (!user.submitted) ReportViolation("invented: " + id);
   if (!user.accepted) {
     user.accepted = true;
     user.accepted_at = now_;
@@ -1678,16 +1682,16 @@
   if ((user.told_done > 0 && asked.at > user.told_done && !says_done) ||
       (user.told_cancelled > 0 && asked.at > user.told_cancelled &&
        !says_cancelled))
-    Break("went_back: " + id + " is now " + answer.body);
+    ReportViolation("went_back: " + id + " is now " + answer.body);
   if (says_cancelled && !user.asked_cancel)
-    Break("went_back: " + id + " was not cancelled by its user");
+    ReportViolation("went_back: " + id + " was not cancelled by its user");
   if (says_done && user.told_done == 0) {
     user.told_done = now_;
     user.over = true;
     if (close) LookClosely(id);
     ++jobs_done_;
     if (user.done.size() < user.spec.tasks || user.spec.IsService())
-      Break("not_done: " + id + " has tasks left");
+      ReportViolation("not_done: " + id + " has tasks left");
   }
   if (says_cancelled && user.told_cancelled == 0) {
     user.told_cancelled = now_;
@@ -1698,7 +1702,8 @@
 }
 
 // One more question or request, beside those that the user repeats.
-void World::Ask(int node, const std::string& id, int kind, double delay_s) {
+void SimulatedCluster::Ask(int node, const std::string& id, int kind,
+                           double delay_s) {
   After(delay_s, [this, node, id, kind] {
     if (!Hears(node)) return;
     const uint64_t request = next_request_++;
@@ -1713,7 +1718,7 @@
   });
 }
 
-void World::LookClosely(const std::string& id) {
+void SimulatedCluster::LookClosely(const std::string& id) {
   users_[id]->looked_at = now_;
   for (int node = 0; node < options_.nodes; ++node) {
     for (int look = 0; look < 3; ++look)
@@ -1722,7 +1727,7 @@
   }
 }
 
-void World::AskOddly() {
+void SimulatedCluster::AskOddly() {
   if (now_ >= odd_until_) return;
   After(0.5, [this] { AskOddly(); });
   const int node = static_cast<int>(rng_() % nodes_.size());
@@ -1751,7 +1756,7 @@
 }
 
 // Jobs that run, and for `hang_s` up to eight machines that hold them hang.
-void World::CancelRunning(size_t count, double hang_s) {
+void SimulatedCluster::CancelRunning(size_t count, double hang_s) {
   std::set<std::string> jobs;
   std::vector<Worker*> holders;
   for (auto& [name, worker] : workers_) {
@@ -1776,8 +1781,8 @@
 // --- Rules
 // ---------------------------------------------------------------------------------
 
-void World::Break(const std::string& what) {
-  broken_.push_back(std::to_string(now_) + " s: " + what);
+void SimulatedCluster::ReportViolation(const std::string& what) {
+  violations_.push_back(std::to_string(now_) + " s: " + what);
 }
 
 namespace {
@@ -1786,7 +1791,7 @@
 }
 }  // namespace
 
-void World::CheckStart(const Worker& worker, const SimTask& task) {
+void SimulatedCluster::CheckStart(const Worker& worker, const SimTask& task) {
   const User& user = *users_[task.job];
   const JobSpec& spec = user.spec;
   const std::string name = task.job + "/" + std::to_string(task.task);
@@ -1798,12 +1803,12 @@
     auto same = other.tasks.find({task.job, task.task});
     if (same != other.tasks.end() && OnMachine(same->second.state) &&
         &other != &worker)
-      Break(std::string("ran_twice: ")
-                .append(name)
-                .append(" on ")
-                .append(worker.name)
-                .append(" and ")
-                .append(other_name));
+      ReportViolation(std::string("ran_twice: ")
+                          .append(name)
+                          .append(" on ")
+                          .append(worker.name)
+                          .append(" and ")
+                          .append(other_name));
     if (!spec.one_zone && !spec.spread) continue;
     for (const auto& [key, placed] : other.tasks)
       if (key.job == task.job && OnMachine(placed.state)) ++in_zone[other.zone];
@@ -1812,33 +1817,33 @@
       (!spec.zone.empty() && spec.zone != worker.zone) ||
       (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(),
                                         worker.type) == spec.types.end()))
-    Break("wrong_place: " + name + " on " + worker.name);
+    ReportViolation("wrong_place: " + name + " on " + worker.name);
   if (spec.one_zone && !in_zone.empty() &&
       (in_zone.size() > 1 || in_zone.begin()->first != worker.zone))
-    Break("wrong_place: " + name + " leaves its zone");
+    ReportViolation("wrong_place: " + name + " leaves its zone");
   if (spec.spread && in_zone[worker.zone] + 1 > (spec.tasks + 1) / 2)
-    Break("wrong_place: " + name + " is not spread");
+    ReportViolation("wrong_place: " + name + " is not spread");
   if (user.told_cancelled > 0 &&
       now_ > user.told_cancelled + settings_.cancel_deadline_s)
-    Break("ran_cancelled: " + name + " starts");
+    ReportViolation("ran_cancelled: " + name + " starts");
 }
 
 // Once all troubles are over, questions about each accepted job are answered.
-void World::CheckForgotten() {
+void SimulatedCluster::CheckForgotten() {
   constexpr double kForgottenS = 75;
   if (EndlessTrouble()) return;
   for (const auto& [id, user] : users_)
     if (user->accepted && now_ - std::max({user->last_answer, troubles_over_,
                                            user->accepted_at}) >
                               kForgottenS) {
-      Break("forgotten: no question about " + id + " is answered");
+      ReportViolation("forgotten: no question about " + id + " is answered");
       user->last_answer = now_;
     }
 }
 
 // At least half of each class, of each team and of each class's largest jobs
 // has begun, the largest within four minutes.
-void World::CheckServed() {
+void SimulatedCluster::CheckServed() {
   if (EndlessTrouble()) return;
   constexpr double kBeginS = 240;
   struct Tally {
@@ -1869,13 +1874,14 @@
   }
   for (const auto& [group, tally] : tallies)
     if (tally.served * 2 < tally.jobs)
-      Break("starved: of " + group + " " + std::to_string(tally.served) +
-            " jobs of " + std::to_string(tally.jobs) + " are served");
+      ReportViolation("starved: of " + group + " " +
+                      std::to_string(tally.served) + " jobs of " +
+                      std::to_string(tally.jobs) + " are served");
 }
 
 // Once all troubles are over, no job waits for 90 s beside room that fits it
 // while its team is under its limit.
-void World::CheckWaiting() {
+void SimulatedCluster::CheckWaiting() {
   constexpr double kWaitS = 90;
   After(1, [this] { CheckWaiting(); });
   if (EndlessTrouble() || options_.fleet || now_ < troubles_over_) return;
@@ -1928,7 +1934,7 @@
         user->waits_since < user->last_start)
       user->waits_since = waits ? now_ : 0;
     if (waits && now_ - user->waits_since > kWaitS) {
-      Break("left waiting: " + id + " beside room that fits");
+      ReportViolation("left waiting: " + id + " beside room that fits");
       user->waits_since = now_;
     }
   }
@@ -1937,7 +1943,7 @@
 // Once all troubles are over, no service is without a replica for 45 s (a
 // lease, a boot and a start) while work of its priority leaves it room in the
 // team's limit.
-void World::CheckReplicas() {
+void SimulatedCluster::CheckReplicas() {
   constexpr double kDownS = 45;
   After(1, [this] { CheckReplicas(); });
   if (EndlessTrouble() || now_ < troubles_over_) return;
@@ -1967,14 +1973,15 @@
     if (!down) user->down_since = 0;
     if (down && user->down_since == 0) user->down_since = now_;
     if (down && now_ - user->down_since > kDownS) {
-      Break("replicas of " + id + " are not put back: " +
-            std::to_string(on[id]) + " of " + std::to_string(user->spec.tasks));
+      ReportViolation("replicas of " + id +
+                      " are not put back: " + std::to_string(on[id]) + " of " +
+                      std::to_string(user->spec.tasks));
       user->down_since = now_;
     }
   }
 }
 
-void World::CheckStep() {
+void SimulatedCluster::CheckStep() {
   CheckForgotten();
   std::map<std::string, double> use;
   for (const auto& [name, worker] : workers_) {
@@ -1985,12 +1992,13 @@
       use[user.spec.team] += user.spec.cpus;
       if (user.told_cancelled > 0 &&
           now_ > user.told_cancelled + settings_.cancel_deadline_s)
-        Break("ran_cancelled: " + key.job + " is still on " + name);
+        ReportViolation("ran_cancelled: " + key.job + " is still on " + name);
     }
   }
   for (const Team& team : settings_.teams)
     if (use[team.name] > team.cpus_max + 1e-6)
-      Break("quota: " + team.name + " uses " + std::to_string(use[team.name]));
+      ReportViolation("quota: " + team.name + " uses " +
+                      std::to_string(use[team.name]));
 }
 
 }  // namespace sorrelwood::test
--- a/tests/world.h
+++ b/tests/simulation/simulated_cluster.h
@@ -12,13 +12,13 @@
 #include <string>
 #include <vector>
 
-#include "action_digest.h"
 #include "core/controller/controller.h"
-#include "log_summary.h"
+#include "simulation/action_digest.h"
+#include "simulation/log_summary.h"
 
 namespace sorrelwood::test {
 
-struct WorldOptions {
+struct SimulationOptions {
   uint64_t seed = 1;
   int nodes = 3;
   double duration_s = 900;
@@ -133,14 +133,14 @@
   std::vector<Fault> faults;
 };
 
-class World {
+class SimulatedCluster {
  public:
-  explicit World(const WorldOptions& options);
-  ~World();
+  explicit SimulatedCluster(const SimulationOptions& options);
+  ~SimulatedCluster();
 
   void Run();
 
-  const std::vector<std::string>& broken() const { return broken_; }
+  const std::vector<std::string>& violations() const { return violations_; }
   int tasks_started() const { return tasks_started_; }
   int jobs_done() const { return jobs_done_; }
   int jobs_cancelled() const { return jobs_cancelled_; }
@@ -227,7 +227,7 @@
   double Latency() { return 0.002 + 0.01 * Random(); }
 
   // The trouble begins now.
-  void Strike(const WorldOptions::Fault& fault);
+  void InjectFault(const SimulationOptions::Fault& fault);
 
   // Nodes.
   void StartNode(int index);
@@ -296,7 +296,7 @@
   void CancelRunning(size_t count, double hang_s);
 
   // Rules.
-  void Break(const std::string& what);
+  void ReportViolation(const std::string& what);
   void CheckStart(const Worker& worker, const SimTask& task);
   void CheckStep();
   bool EndlessTrouble() const { return options_.lose > 0.05; }
@@ -317,7 +317,7 @@
   void BecomeFleet();
   JobSpec FleetJob(JobSpec spec);
 
-  WorldOptions options_;
+  SimulationOptions options_;
   ClusterSettings settings_;
   std::mt19937_64 rng_;
   double now_ = 0;
@@ -379,7 +379,7 @@
   std::map<uint64_t, AskedReport> reports_;
   double zone_cut_until_ = 0;
 
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   int tasks_started_ = 0, jobs_done_ = 0, jobs_cancelled_ = 0;
   int jobs_accepted_ = 0, takeovers_ = 0, stops_ = 0;
   size_t steps_ = 0;
--- a/tests/world_test.cc
+++ b/tests/simulation_test.cc
@@ -1,12 +1,11 @@
 // Seeded days in the simulated world: after every step each rule is checked.
-#include "world.h"
-
 #include <gtest/gtest.h>
 
 #include <cstdio>
 #include <cstdlib>
 
-#include "scenarios.h"
+#include "simulation/scenarios.h"
+#include "simulation/simulated_cluster.h"
 
 namespace sorrelwood::test {
 namespace {
@@ -17,7 +16,7 @@
   return asked ? std::strtoull(asked, nullptr, 10) : usual;
 }
 
-using Fault = WorldOptions::Fault;
+using Fault = SimulationOptions::Fault;
 
 std::string Join(const std::vector<std::string>& lines) {
   std::string text;
@@ -31,24 +30,24 @@
   const Scenario scenario = Scenarios()[static_cast<size_t>(GetParam())];
   for (uint64_t seed = 1; seed <= Seeds(scenario.seeds); ++seed) {
     SCOPED_TRACE(std::string(scenario.name) + " seed " + std::to_string(seed));
-    WorldOptions options = scenario.options;
+    SimulationOptions options = scenario.options;
     options.seed = seed;
-    World world(options);
-    world.Run();
-    EXPECT_TRUE(world.broken().empty()) << Join(world.broken());
-    EXPECT_GT(world.tasks_started(), 20);
+    SimulatedCluster cluster(options);
+    cluster.Run();
+    EXPECT_TRUE(cluster.violations().empty()) << Join(cluster.violations());
+    EXPECT_GT(cluster.tasks_started(), 20);
     const int jobs = options.jobs + (options.guests ? 61 : 0) +
                      static_cast<int>(options.singles_per_s * 120) +
                      options.services + (options.long_array ? 1 : 0);
-    EXPECT_EQ(world.jobs_accepted(), jobs);
-    EXPECT_LE(world.wrongly_returned(), 1);
+    EXPECT_EQ(cluster.jobs_accepted(), jobs);
+    EXPECT_LE(cluster.wrongly_returned(), 1);
     if (scenario.all_done)
-      EXPECT_EQ(
-          world.jobs_done() + world.jobs_cancelled() + world.services_left(),
-          jobs)
-          << world.Unfinished();
+      EXPECT_EQ(cluster.jobs_done() + cluster.jobs_cancelled() +
+                    cluster.services_left(),
+                jobs)
+          << cluster.Unfinished();
     else
-      EXPECT_GT(world.jobs_done() + world.jobs_cancelled(), jobs / 4);
+      EXPECT_GT(cluster.jobs_done() + cluster.jobs_cancelled(), jobs / 4);
   }
 }
 
@@ -67,13 +66,13 @@
   const uint64_t seeds = Seeds(4);
   for (uint64_t seed = 1; seed <= seeds; ++seed) {
     SCOPED_TRACE(std::string(scenario.name) + " seed " + std::to_string(seed));
-    WorldOptions options = WithSpread(scenario.options);
+    SimulationOptions options = WithSpread(scenario.options);
     options.seed = seed;
-    World world(options);
-    world.Run();
-    EXPECT_TRUE(world.broken().empty()) << Join(world.broken());
-    EXPECT_GT(world.tasks_started(), 20);
-    moves += world.moves_begun();
+    SimulatedCluster cluster(options);
+    cluster.Run();
+    EXPECT_TRUE(cluster.violations().empty()) << Join(cluster.violations());
+    EXPECT_GT(cluster.tasks_started(), 20);
+    moves += cluster.moves_begun();
   }
   std::printf("moves begun: %llu\n", static_cast<unsigned long long>(moves));
 }
@@ -86,9 +85,9 @@
     });
 
 TEST(Day, RepeatsItselfForASeed) {
-  const WorldOptions options =
+  const SimulationOptions options =
       MakeScenario("", true, {{50, Fault::kCrashLeader, 0, 3}}, 0.02).options;
-  World first(options), second(options);
+  SimulatedCluster first(options), second(options);
   first.Run();
   second.Run();
   EXPECT_EQ(first.tasks_started(), second.tasks_started());
@@ -99,32 +98,32 @@
 // A service that ends everywhere is tried at a falling rate, and its machines
 // are not held to be at fault.
 TEST(Day, AServiceThatEndsAtOnceDoesNotSpin) {
-  WorldOptions options = MakeScenario("", true, {}).options;
+  SimulationOptions options = MakeScenario("", true, {}).options;
   options.services = 3;
   options.spinning_service = true;
   options.duration_s = 400;
-  World world(options);
-  world.Run();
-  EXPECT_TRUE(world.broken().empty()) << Join(world.broken());
-  EXPECT_GT(world.spins(), 5);
-  EXPECT_LT(world.spins(), 120);
-  EXPECT_EQ(world.wrongly_returned(), 0);
+  SimulatedCluster cluster(options);
+  cluster.Run();
+  EXPECT_TRUE(cluster.violations().empty()) << Join(cluster.violations());
+  EXPECT_GT(cluster.spins(), 5);
+  EXPECT_LT(cluster.spins(), 120);
+  EXPECT_EQ(cluster.wrongly_returned(), 0);
 }
 
 // The limits fall while an array's progress outgrows the smaller ones.
 TEST(Day, FallingLimitsAreFollowed) {
-  WorldOptions options = MakeScenario("", true, {}).options;
+  SimulationOptions options = MakeScenario("", true, {}).options;
   options.nodes = 5;
   options.roll_at_s = 15;
   options.limits_fall_at_s = 50;
   options.long_array = true;
   options.rate_limits = true;
-  World world(options);
-  world.Run();
-  EXPECT_TRUE(world.broken().empty()) << Join(world.broken());
-  EXPECT_GT(world.refused_for_size(), 0);
-  EXPECT_LT(world.refused_for_size(), 10);
-  EXPECT_TRUE(world.SomeProgressInParts());
+  SimulatedCluster cluster(options);
+  cluster.Run();
+  EXPECT_TRUE(cluster.violations().empty()) << Join(cluster.violations());
+  EXPECT_GT(cluster.refused_for_size(), 0);
+  EXPECT_LT(cluster.refused_for_size(), 10);
+  EXPECT_TRUE(cluster.SomeProgressInParts());
 }
 
 // Prints a digest of all actions over several seeded runs. A change that is
@@ -132,18 +131,18 @@
 TEST(Day, PrintsADigestOfAllActions) {
   uint64_t all = 0;
   for (uint64_t seed = 1; seed <= 4; ++seed) {
-    WorldOptions options = MakeScenario("", true,
-                                        {{40, Fault::kMachineCut, 40, 0},
-                                         {50, Fault::kCrashLeader, 0, 3},
-                                         {70, Fault::kSpotWave, 0, 0},
-                                         {80, Fault::kStateOutage, 15, 0}},
-                                        0.02)
-                               .options;
+    SimulationOptions options = MakeScenario("", true,
+                                             {{40, Fault::kMachineCut, 40, 0},
+                                              {50, Fault::kCrashLeader, 0, 3},
+                                              {70, Fault::kSpotWave, 0, 0},
+                                              {80, Fault::kStateOutage, 15, 0}},
+                                             0.02)
+                                    .options;
     options.seed = seed;
-    World world(options);
-    world.Run();
-    EXPECT_NE(world.digest(), ActionDigest().value());
-    all = all * 31 + world.digest();
+    SimulatedCluster cluster(options);
+    cluster.Run();
+    EXPECT_NE(cluster.digest(), ActionDigest().value());
+    all = all * 31 + cluster.digest();
   }
   std::printf("digest of all actions: %016llx\n",
               static_cast<unsigned long long>(all));
@@ -153,11 +152,12 @@
 // outage, and when it can't tell, it stays.
 TEST(Day, OnlyARefusedNodeIsLeftOut) {
   const auto unhealthy = [](Fault::Kind kind) {
-    WorldOptions options = MakeScenario("", true, {{50, kind, 20, 0}}).options;
+    SimulationOptions options =
+        MakeScenario("", true, {{50, kind, 20, 0}}).options;
     options.nodes = 5;
-    World world(options);
-    world.Run();
-    return world.unhealthy_ticks();
+    SimulatedCluster cluster(options);
+    cluster.Run();
+    return cluster.unhealthy_ticks();
   };
   EXPECT_GT(unhealthy(Fault::kStateRefusesLeader), 50);
   EXPECT_EQ(unhealthy(Fault::kStateOutage), 0);
@@ -168,7 +168,7 @@
 
 // A fleet through a mass loss, all controllers down, and a roll of restarts.
 TEST(Day, AFleetKeepsTheRules) {
-  WorldOptions options;
+  SimulationOptions options;
   options.fleet = true;
   options.nodes = 5;
   options.jobs = 120;
@@ -180,18 +180,18 @@
                     {110, Fault::kZoneCut, 30, 0}};
   for (int i = 0; i < 5; ++i)
     options.faults.push_back({150.0 + 8 * i, Fault::kCrashLeader, 0, 0.3});
-  World world(options);
-  world.Run();
-  EXPECT_TRUE(world.broken().empty()) << Join(world.broken());
-  EXPECT_GT(world.machines_rented(), 1200);
-  EXPECT_GT(world.tasks_started(), 20000);
-  EXPECT_EQ(world.jobs_accepted(), options.jobs);
+  SimulatedCluster cluster(options);
+  cluster.Run();
+  EXPECT_TRUE(cluster.violations().empty()) << Join(cluster.violations());
+  EXPECT_GT(cluster.machines_rented(), 1200);
+  EXPECT_GT(cluster.tasks_started(), 20000);
+  EXPECT_EQ(cluster.jobs_accepted(), options.jobs);
 }
 
 // 4,500 machines through a takeover and the silence of two zones, which come
 // back within their leases; then all that was asked for is done.
 TEST(Day, AFleetOf4500MachinesKeepsTheRules) {
-  WorldOptions options;
+  SimulationOptions options;
   options.fleet = true;
   options.fleet_scale = 3;
   options.nodes = 3;
@@ -205,23 +205,23 @@
   options.faults = {{70, Fault::kCrashLeader, 0, 3},
                     {90, Fault::kZoneCut, 15, 0},
                     {120, Fault::kCrashLeader, 0, 0.3}};
-  World world(options);
-  world.Run();
-  EXPECT_TRUE(world.broken().empty()) << Join(world.broken());
-  EXPECT_GT(world.machines_rented(), 4000);
-  EXPECT_EQ(world.jobs_done(), options.jobs) << world.Unfinished();
+  SimulatedCluster cluster(options);
+  cluster.Run();
+  EXPECT_TRUE(cluster.violations().empty()) << Join(cluster.violations());
+  EXPECT_GT(cluster.machines_rented(), 4000);
+  EXPECT_EQ(cluster.jobs_done(), options.jobs) << cluster.Unfinished();
 }
 
 TEST(Day, IdleMachinesAreReturned) {
-  WorldOptions options;
+  SimulationOptions options;
   options.jobs = 6;
   options.submit_until_s = 20;
   options.duration_s = 500;
-  World world(options);
-  world.Run();
-  EXPECT_EQ(world.jobs_done() + world.jobs_cancelled(), 6);
+  SimulatedCluster cluster(options);
+  cluster.Run();
+  EXPECT_EQ(cluster.jobs_done() + cluster.jobs_cancelled(), 6);
   // What is left is the base, which has shrunk with the load.
-  EXPECT_LE(world.machines_left(), 2u);
+  EXPECT_LE(cluster.machines_left(), 2u);
 }
 
 }  // namespace
--- a/tests/spread_measurement.cc
+++ b/tests/spread_measurement.cc
@@ -4,7 +4,7 @@
 #include <cstdio>
 #include <cstdlib>
 
-#include "world.h"
+#include "simulation/simulated_cluster.h"
 
 namespace sorrelwood::test {
 namespace {
@@ -13,8 +13,8 @@
 
 enum class Mode { kOff, kPlacement, kMoves };
 
-WorldOptions Day(uint64_t seed, bool burst, Mode mode) {
-  WorldOptions options;
+SimulationOptions Day(uint64_t seed, bool burst, Mode mode) {
+  SimulationOptions options;
   options.seed = seed;
   options.fleet = true;
   options.fleet_scale = 0.2;
@@ -36,18 +36,18 @@
 }
 
 void CollectStatistics(uint64_t seed, bool burst, Mode mode) {
-  World world(Day(seed, burst, mode));
-  world.Run();
+  SimulatedCluster cluster(Day(seed, burst, mode));
+  cluster.Run();
   const char* names[] = {"off", "placement", "moves"};
   std::printf(
       "%-6s %4llu %-10s %9.3f %9.3f %8.0f %6llu %6d %8.1f %9.0f %8.1f %zu\n",
       burst ? "burst" : "quiet", static_cast<unsigned long long>(seed),
-      names[static_cast<int>(mode)], world.MeanImbalance(60, kBurstEndsS),
-      world.MeanImbalance(kBurstEndsS + 60, kBurstEndsS + 120),
-      world.uneven_until(),
-      static_cast<unsigned long long>(world.moves_finished()),
-      world.jobs_done(), world.MeanJobTime(), world.machine_s(),
-      world.cost().PerHeartbeat() * 1e6, world.broken().size());
+      names[static_cast<int>(mode)], cluster.MeanImbalance(60, kBurstEndsS),
+      cluster.MeanImbalance(kBurstEndsS + 60, kBurstEndsS + 120),
+      cluster.uneven_until(),
+      static_cast<unsigned long long>(cluster.moves_finished()),
+      cluster.jobs_done(), cluster.MeanJobTime(), cluster.machine_s(),
+      cluster.cost().PerHeartbeat() * 1e6, cluster.violations().size());
 }
 
 }  // namespace
