--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -56,7 +56,7 @@
   returning_.clear();
   refused_until_.clear();
   return_in_flight_ = false;
-  listing_ = list_known_ = false;
+  listing_ = inventory_known_ = false;
   list_pages_ = 1;
   next_list_ = 0;
   held_up_at_ = 0;
@@ -99,12 +99,12 @@
 // --- Returning
 // -------------------------------------------------------------------
 
-void Autoscaler::Return(Machine* machine, const std::string& why) {
+void Autoscaler::Release(Machine* machine, ReleaseReason reason) {
   if (machine->lifecycle.terminating) return;
   machine->lifecycle.terminating = true;
   returning_.insert(machine->name);
-  context_->Info("releasing machine",
-                 {{"machine", machine->name}, {"reason", why}});
+  context_->Info("releasing machine", {{"machine", machine->name},
+                                       {"reason", ReleaseReasonText(reason)}});
 }
 
 void Autoscaler::SendReturns() {
@@ -129,7 +129,7 @@
             writer_->Remove(keys::Machine(name));
           if (on_gone) on_gone(machine);
           machines_->Remove(name);
-          Settled(name);
+          OnMachineRecorded(name);
         }
       });
 }
@@ -140,7 +140,7 @@
     Machine* m = machine.get();
     if (m->lifecycle.terminating || !m->type) continue;
     if (!m->lifecycle.ever_reported) {
-      if (GivenUp(*m, came_up)) Return(m, "it has not come up");
+      if (GivenUp(*m, came_up)) Release(m, ReleaseReason::kBootTimeout);
       continue;
     }
     if (!m->attempts.empty() || !m->unrecorded_completions.empty() ||
@@ -149,18 +149,19 @@
       continue;
     }
     if (m->health.quarantined) {
-      if (context_->now >= m->health.suspect_until) Return(m, "it is faulty");
+      if (context_->now >= m->health.suspect_until)
+        Release(m, ReleaseReason::kFaulty);
       continue;
     }
     if (m->lifecycle.preemption_deadline > 0) {
-      Return(m, "the cloud takes it back");
+      Release(m, ReleaseReason::kPreempted);
       continue;
     }
     if (m->lifecycle.idle_since == 0) m->lifecycle.idle_since = context_->now;
     if (!m->role.baseline && !m->role.for_services &&
         context_->now - std::max(m->lifecycle.idle_since, held_up_at_) >
             policy_.hold_s)
-      Return(m, "idle");
+      Release(m, ReleaseReason::kIdle);
   }
 }
 
@@ -192,7 +193,7 @@
 
 void Autoscaler::LearnList(const std::vector<ListedMachine>& listed,
                            double sent) {
-  list_known_ = true;
+  inventory_known_ = true;
   std::set<std::string> present;
   for (const ListedMachine& item : listed) {
     present.insert(item.name);
@@ -214,7 +215,8 @@
     machine->lifecycle.listed = machine->lifecycle.identity_confirmed = true;
     machine->lifecycle.unlisted_since = 0;
     if (machine->address.empty()) machine->address = item.address;
-    if (item.status == MachineStatus::kFailed) Return(machine, "it failed");
+    if (item.status == MachineStatus::kFailed)
+      Release(machine, ReleaseReason::kFailedInCloud);
   }
   // One that was listed and no longer is has been taken. Returning it is the
   // proof; a list alone is none.
@@ -230,7 +232,7 @@
                    kListMarginS &&
         context_->now - machine->contact.last_contact_at >
             kSilentHeartbeats * settings_->heartbeat_interval_s) {
-      Return(machine.get(), "it was not there any more");
+      Release(machine.get(), ReleaseReason::kMissingAtTakeover);
       continue;
     }
     if (!machine->lifecycle.listed) continue;
@@ -239,7 +241,7 @@
     if (context_->now - machine->lifecycle.unlisted_since > lag &&
         context_->now - machine->contact.last_contact_at >
             kSilentHeartbeats * settings_->heartbeat_interval_s)
-      Return(machine.get(), "it is no longer listed");
+      Release(machine.get(), ReleaseReason::kLeftInventory);
   }
 }
 
@@ -775,7 +777,7 @@
       });
 }
 
-void Autoscaler::Settled(const std::string& machine) {
+void Autoscaler::OnMachineRecorded(const std::string& machine) {
   std::vector<std::string> ended;
   for (auto& [name, rent] : rents_)
     if (rent.unsettled.erase(machine) > 0 && rent.unsettled.empty() &&
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -8,6 +8,7 @@
 #include <string>
 #include <vector>
 
+#include "core/autoscaling/release_reason.h"
 #include "core/coordination/state_limits.h"
 #include "core/coordination/state_writer.h"
 #include "core/engine/context.h"
@@ -43,15 +44,15 @@
   void Tick(bool may_dispatch, double dispatch_deadline);
 
   // Returns the machine; its tasks count as on it until the cloud confirms.
-  void Return(Machine* machine, const std::string& why);
+  void Release(Machine* machine, ReleaseReason reason);
   // The machine's record is committed, or it is gone.
-  void Settled(const std::string& machine);
+  void OnMachineRecorded(const std::string& machine);
   // The cloud has told this leader which machines there are.
-  bool list_known() const { return list_known_; }
+  bool inventory_known() const { return inventory_known_; }
 
   // Called when the cloud has confirmed that the machine is gone.
   std::function<void(Machine*)> on_gone;
-  double base_target_cpus() const { return base_target_; }
+  double baseline_target_cpus() const { return base_target_; }
 
  private:
   struct Offer {
@@ -162,8 +163,8 @@
   std::set<std::string> returning_;
   bool return_in_flight_ = false;
   bool listing_ = false;
-  bool list_known_ = false;  // one was read in this term
-  size_t list_pages_ = 1;    // of the latest list
+  bool inventory_known_ = false;  // one was read in this term
+  size_t list_pages_ = 1;         // of the latest list
   double next_list_ = 0, next_plan_ = 0;
   double held_up_at_ = 0;  // when work last could not start
   double launch_until_ = 0;
--- a/src/core/controller/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -703,7 +703,7 @@
               {[this, name = machine->name] {
                  if (Machine* m = machines_.Find(name)) {
                    m->lifecycle.recorded = true;
-                   autoscaler_.Settled(name);
+                   autoscaler_.OnMachineRecorded(name);
                  }
                },
                nullptr, /*urgent=*/true});
@@ -849,7 +849,7 @@
   for (const auto& [name, machine] : machines_.all())
     if (machine->role.baseline) ++f.base_machines;
   f.unreconciled = placement_.unreconciled();
-  f.base_target_cpus = autoscaler_.base_target_cpus();
+  f.base_target_cpus = autoscaler_.baseline_target_cpus();
   f.predictor_error_s = waiting_.predictor().mean_error_s();
   f.predictor_matthews = waiting_.predictor().matthews();
   f.predictor_samples = waiting_.predictor().samples();
--- a/src/core/workers/health_monitor.cc
+++ b/src/core/workers/health_monitor.cc
@@ -57,7 +57,7 @@
     // One that is neither heard nor listed is a record without a machine.
     // Guards against the lead going round because of such.
     if (!machine->lifecycle.token_acknowledged && !machine->lifecycle.listed &&
-        autoscaler_->list_known())
+        autoscaler_->inventory_known())
       continue;
     ++census.expected;
     const double quiet_s = context_->now - machine->contact.last_contact_at;
@@ -134,7 +134,7 @@
     handlers_.forget_machine_contents(machine);
   }
   if (few_blocking && BlocksRecovery(*machine)) {
-    autoscaler_->Return(machine, "it holds up what was taken over");
+    autoscaler_->Release(machine, ReleaseReason::kBlocksRecovery);
     return;
   }
   // It has spoken, has been answered, and still has not shown our token:
@@ -162,12 +162,12 @@
                               2 * settings_->worker_lease_s;
   if ((few_silent || !machine->lifecycle.identity_confirmed) &&
       (machine->contact.unreachable || unheard))
-    autoscaler_->Return(machine, "it does not hear us");
+    autoscaler_->Release(machine, ReleaseReason::kUnreachable);
   else if (few_silent && context_->now - machine->contact.last_heartbeat_at >
                              UnreachableThreshold())
-    autoscaler_->Return(machine, "it is silent");
+    autoscaler_->Release(machine, ReleaseReason::kSilent);
   else if (context_->now > lost_at && context_->now > long_lost_at)
-    autoscaler_->Return(machine, "it has been out of reach for long");
+    autoscaler_->Release(machine, ReleaseReason::kLongUnreachable);
 }
 
 void HealthMonitor::PushToken(Machine* machine) {
--- a/tests/simulation/simulated_cluster.cc
+++ b/tests/simulation/simulated_cluster.cc
@@ -8,6 +8,7 @@
 #include <utility>
 
 #include "base/constants.h"
+#include "core/autoscaling/release_reason.h"
 #include "protocol/json.h"
 
 namespace sorrelwood::test {
@@ -634,7 +635,7 @@
   std::map<std::string, std::string> fields;
   for (const LogField& field : event.fields)
     fields[field.name] = std::get<std::string>(field.value);
-  if (fields.at("reason") != "it is faulty") return;
+  if (fields.at("reason") != ReleaseReasonText(ReleaseReason::kFaulty)) return;
   const auto it = workers_.find(fields.at("machine"));
   if (it != workers_.end() && !it->second->sick) ++wrongly_returned_;
 }
