--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -1,10 +1,14 @@
 #include "cloud/cloud_client.h"
 
+#include <algorithm>
 #include <chrono>
+#include <iterator>
 #include <thread>
+#include <utility>
 
 #include "base/constants.h"
-#include "protocol/json.h"
+#include "protocol/cloud_codec.h"
+#include "protocol/field_names.h"
 
 namespace sorrelwood {
 namespace {
@@ -37,10 +41,12 @@
 CloudResult CloudClient::Catalog(const FetchCatalog& catalog) {
   CloudResult result;
   result.id = catalog.id;
-  const HttpAnswer answer = http_.Get("/catalog");
+  const HttpAnswer answer = http_.Get(protocol::path::kCatalog);
   result.outcome = OutcomeOf(answer);
-  if (result.outcome == Outcome::kOk &&
-      !wire::ParseCatalog(answer.body, &result.types))
+  if (result.outcome != Outcome::kOk) return result;
+  if (auto types = protocol::ParseCatalog(answer.body))
+    result.types = std::move(*types);
+  else
     result.outcome = Outcome::kUnknown;
   return result;
 }
@@ -49,13 +55,16 @@
   CloudResult result;
   result.id = rent.id;
   if (TooLate(rent.not_after, &result)) return result;
-  const HttpAnswer answer = http_.Post("/hosts", wire::EncodeRent(rent.rent));
+  const HttpAnswer answer = http_.Post(
+      protocol::path::kMachines, protocol::EncodeProvisionRequest(rent.rent));
   result.outcome = OutcomeOf(answer);
   // "no capacity" and "trouble" share a status.
   result.no_capacity = answer.status == 503 &&
                        answer.body.find("no capacity") != std::string::npos;
-  if (result.outcome == Outcome::kOk &&
-      !wire::ParseMachineNames(answer.body, &result.machines))
+  if (result.outcome != Outcome::kOk) return result;
+  if (auto machines = protocol::ParseMachineNames(answer.body))
+    result.machines = std::move(*machines);
+  else
     result.outcome = Outcome::kUnknown;
   return result;
 }
@@ -65,7 +74,8 @@
   result.id = release.id;
   if (TooLate(release.not_after, &result)) return result;
   const HttpAnswer answer =
-      http_.Post("/hosts/release", wire::EncodeRelease(release.machines));
+      http_.Post(protocol::path::kReleaseMachines,
+                 protocol::EncodeReleaseRequest(release.machines));
   result.outcome = OutcomeOf(answer);
   if (result.outcome == Outcome::kOk) result.machines = release.machines;
   return result;
@@ -76,18 +86,24 @@
   result.id = list.id;
   std::string after;
   for (bool more = true; more;) {
-    std::string path = "/hosts?most=" + std::to_string(kMachinePage);
-    if (!after.empty()) path += "&after=" + after;
+    std::string path = std::string(protocol::path::kMachines) + "?" +
+                       protocol::query::kLimit + "=" +
+                       std::to_string(kMachinePage);
+    if (!after.empty())
+      path += std::string("&") + protocol::query::kAfter + "=" + after;
     const HttpAnswer answer = http_.Get(path);
     result.outcome = OutcomeOf(answer);
     if (result.outcome != Outcome::kOk) return result;
-    const size_t before = result.listed.size();
-    if (!wire::ParseMachineList(answer.body, &result.listed, &more)) {
+    auto page = protocol::ParseMachinePage(answer.body);
+    if (!page) {
       result.outcome = Outcome::kUnknown;
       return result;
     }
-    if (result.listed.size() == before) break;
+    if (page->machines.empty()) break;
+    std::move(page->machines.begin(), page->machines.end(),
+              std::back_inserter(result.listed));
     after = result.listed.back().name;
+    more = page->has_more;
     if (more)
       std::this_thread::sleep_for(
           std::chrono::duration<double>(list.page_pause_s));
--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -5,7 +5,9 @@
 
 #include "base/constants.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/client_codec.h"
+#include "protocol/identifiers.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 namespace {
@@ -46,7 +48,7 @@
 }
 
 void JobApi::Busy(uint64_t request, const std::string& why) {
-  Answer(request, 429, wire::EncodeError(why), 2);
+  Answer(request, 429, protocol::EncodeError(why), 2);
 }
 
 // Guards against polls for jobs that nobody submitted, or that are long over,
@@ -73,14 +75,15 @@
 }
 
 void JobApi::Unavailable(uint64_t request, const std::string& why) {
-  Answer(request, 503, wire::EncodeError(why), 1);
+  Answer(request, 503, protocol::EncodeError(why), 1);
 }
 
 void JobApi::AnswerFinal(uint64_t request, const std::string& id,
                          FinalState state) {
   Answer(request, 200,
-         wire::EncodeStatus(id,
-                            state == FinalState::kDone ? "done" : "cancelled"));
+         protocol::EncodeJobStatus(id, state == FinalState::kDone
+                                           ? protocol::JobStatus::kDone
+                                           : protocol::JobStatus::kCancelled));
 }
 
 void JobApi::AnswerState(uint64_t request, int status, const std::string& id) {
@@ -89,10 +92,13 @@
     return;
   }
   const CachedJob* known = job_cache_->FindLive(id);
-  const JobCounts counts = known ? known->counts : JobCounts();
+  JobCounts counts = known ? known->counts : JobCounts();
+  counts.id = id;
   Answer(request, status,
-         wire::EncodeStatus(id, counts.running > 0 ? "running" : "queued",
-                            counts.done, counts.running));
+         protocol::EncodeJobStatus(counts.running > 0
+                                       ? protocol::JobStatus::kRunning
+                                       : protocol::JobStatus::kQueued,
+                                   counts));
 }
 
 std::string JobApi::Impossible(const JobSpec& spec) const {
@@ -138,7 +144,7 @@
   auto job = std::make_shared<LiveJob>();
   job->spec = spec;
   job->submitted_wall_s = context_->wall;
-  std::string record = wire::EncodeLiveJob(*job);
+  std::string record = protocol::EncodeLiveJob(*job);
   if (record.size() > limits_->value_bytes()) {
     RefuseUnlessKnown(request, id, 400, kTooLargeToStore);
     return;
@@ -150,7 +156,8 @@
         switch (result.outcome) {
           case Outcome::kOk:
             job_cache_->ApplyLiveJob(id, result.revision, job);
-            Answer(request, 201, wire::EncodeStatus(id, "queued"));
+            Answer(request, 201,
+                   protocol::EncodeJobStatus(id, protocol::JobStatus::kQueued));
             return;
           case Outcome::kConflict:
             LookUp(
@@ -184,7 +191,7 @@
            if (where == Where::kNoAnswer)
              Unavailable(request, "the state service does not answer");
            else if (where == Where::kNowhere)
-             Answer(request, status, wire::EncodeError(why));
+             Answer(request, status, protocol::EncodeError(why));
            else
              AnswerState(request, 200, id);
          });
@@ -208,19 +215,24 @@
 
 void JobApi::ReadFinal(StateConnection connection, const std::string& id,
                        const std::function<void(Where)>& found) {
-  context_->Get(connection, keys::Final(id),
-                [this, id, found](const StateResult& got) {
-                  FinalState state;
-                  if (got.outcome == Outcome::kOk && !got.items.empty() &&
-                      wire::ParseFinal(got.items[0].value, &state)) {
-                    job_cache_->ApplyFinalState(id, state);
-                    found(Where::kFinal);
-                  } else if (got.outcome == Outcome::kConflict) {
-                    found(Where::kNowhere);
-                  } else {
-                    found(Where::kNoAnswer);
-                  }
-                });
+  context_->Get(
+      connection, keys::Final(id), [this, id, found](const StateResult& got) {
+        if (got.outcome == Outcome::kConflict) {
+          found(Where::kNowhere);
+          return;
+        }
+        if (got.outcome != Outcome::kOk || got.items.empty()) {
+          found(Where::kNoAnswer);
+          return;
+        }
+        const auto state = protocol::ParseFinalState(got.items[0].value);
+        if (!state) {
+          found(Where::kNoAnswer);
+          return;
+        }
+        job_cache_->ApplyFinalState(id, *state);
+        found(Where::kFinal);
+      });
 }
 
 // The job is no longer live: how it ended is read and told.
@@ -239,8 +251,8 @@
 
 void JobApi::Poll(uint64_t request, const std::string& id) {
   if (!Admit(request, Kind::kPoll)) return;
-  if (!wire::ValidJobId(id)) {
-    Answer(request, 404, wire::EncodeError("no such job"));
+  if (!protocol::IsValidJobId(id)) {
+    Answer(request, 404, protocol::EncodeError("no such job"));
     return;
   }
   if (auto state = job_cache_->FindFinal(id)) {
@@ -261,7 +273,7 @@
     if (where == Where::kNoAnswer)
       Unavailable(request, "the state service does not answer");
     else if (where == Where::kNowhere && !job_cache_->FindLive(id))
-      Answer(request, 404, wire::EncodeError("no such job"));
+      Answer(request, 404, protocol::EncodeError("no such job"));
     else  // found, or accepted since it was looked for
       AnswerState(request, 200, id);
   });
@@ -321,8 +333,8 @@
 
 void JobApi::Cancel(uint64_t request, const std::string& id) {
   if (!Admit(request, Kind::kChange)) return;
-  if (!wire::ValidJobId(id)) {
-    Answer(request, 404, wire::EncodeError("no such job"));
+  if (!protocol::IsValidJobId(id)) {
+    Answer(request, 404, protocol::EncodeError("no such job"));
     return;
   }
   if (auto state = job_cache_->FindFinal(id)) {
@@ -339,7 +351,7 @@
     else if (where == Where::kFinal || where == Where::kLive)
       AnswerState(request, 200, id);
     else if (where == Where::kNowhere)
-      Answer(request, 404, wire::EncodeError("no such job"));
+      Answer(request, 404, protocol::EncodeError("no such job"));
     else
       Unavailable(request, "the state service does not answer");
   });
@@ -351,7 +363,8 @@
   context_->Transact(
       StateConnection::kUser, {{keys::Live(id), version}},
       {{true, keys::Live(id), "", 0},
-       {false, keys::Final(id), wire::EncodeFinal(FinalState::kCancelled), 0}},
+       {false, keys::Final(id),
+        protocol::EncodeFinalState(FinalState::kCancelled), 0}},
       [this, request, id](const StateResult& result) {
         if (result.outcome == Outcome::kOk) {
           job_cache_->ApplyFinalState(id, FinalState::kCancelled);
--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -7,7 +7,7 @@
 
 #include "base/constants.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 
@@ -716,7 +716,7 @@
   // The record comes before the call: guards against a machine that a
   // crash between the two would leave without an owner.
   writer_->Put(
-      keys::Rent(record.name), wire::EncodeProvisioningRecord(record),
+      keys::Rent(record.name), protocol::EncodeProvisioningRecord(record),
       {[this, name = record.name] {
          if (auto it = rents_.find(name); it != rents_.end())
            it->second.recorded = true;
@@ -773,7 +773,7 @@
           EndRent(name);
         else
           writer_->Put(keys::Rent(name),
-                       wire::EncodeProvisioningRecord(open.record));
+                       protocol::EncodeProvisioningRecord(open.record));
       });
 }
 
--- a/src/core/controller/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -7,7 +7,7 @@
 
 #include "base/constants.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 
@@ -108,14 +108,14 @@
 void Scheduler::LoadMachines(const StateResult& result) {
   for (const KeyValue& item : result.items) {
     writer_.CacheVersion(item.key, item.version);
-    MachineRecord record;
-    if (!wire::ParseMachineRecord(item.value, &record)) continue;
-    Machine* machine = machines_.Add(record.name);
-    machine->address = record.address;
-    machine->type_name = record.type;
-    machine->type = autoscaler_.FindType(record.type);
-    machine->zone = record.zone;
-    machine->spot = record.spot;
+    const auto record = protocol::ParseMachineRecord(item.value);
+    if (!record) continue;
+    Machine* machine = machines_.Add(record->name);
+    machine->address = record->address;
+    machine->type_name = record->type;
+    machine->type = autoscaler_.FindType(record->type);
+    machine->zone = record->zone;
+    machine->spot = record->spot;
     machine->lifecycle.recorded = true;
     machine->lifecycle.from_earlier_term = true;
     machine->lifecycle.ever_reported = true;
@@ -130,9 +130,8 @@
   std::vector<ProvisioningRecord> records;
   for (const KeyValue& item : rents.items) {
     writer_.CacheVersion(item.key, item.version);
-    ProvisioningRecord record;
-    if (wire::ParseProvisioningRecord(item.value, &record))
-      records.push_back(record);
+    if (auto record = protocol::ParseProvisioningRecord(item.value))
+      records.push_back(std::move(*record));
   }
   active_ = true;
   autoscaler_.Load(election_->term(), records);
@@ -699,7 +698,8 @@
   MachineRecord record{machine->name, machine->type_name, machine->zone,
                        machine->address, machine->spot};
   // Before anything is placed there, so that a later leader knows of it.
-  writer_.Put(keys::Machine(machine->name), wire::EncodeMachineRecord(record),
+  writer_.Put(keys::Machine(machine->name),
+              protocol::EncodeMachineRecord(record),
               {[this, name = machine->name] {
                  if (Machine* m = machines_.Find(name)) {
                    m->lifecycle.recorded = true;
@@ -784,7 +784,8 @@
   const std::string id = job->id();
   std::vector<Mutation> mutations = {
       {true, keys::Live(id), "", 0},
-      {false, keys::Final(id), wire::EncodeFinal(FinalState::kDone), 0}};
+      {false, keys::Final(id), protocol::EncodeFinalState(FinalState::kDone),
+       0}};
   writer_.CommitJobEnd(
       {{keys::Live(id), job->version}}, std::move(mutations),
       [this, id](const StateResult& result) {
@@ -800,10 +801,11 @@
         // Cancelled, or an earlier try was carried out: the final key tells.
         context_->Get(StateConnection::kLeader, keys::Final(id),
                       [this, id](const StateResult& got) {
-                        FinalState state;
-                        if (got.outcome == Outcome::kOk && !got.items.empty() &&
-                            wire::ParseFinal(got.items[0].value, &state))
-                          job_cache_->ApplyFinalState(id, state);
+                        if (got.outcome != Outcome::kOk || got.items.empty())
+                          return;
+                        if (const auto state =
+                                protocol::ParseFinalState(got.items[0].value))
+                          job_cache_->ApplyFinalState(id, *state);
                       });
       });
 }
--- a/src/core/coordination/completion_store.cc
+++ b/src/core/coordination/completion_store.cc
@@ -5,7 +5,7 @@
 
 #include "base/constants.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 
@@ -45,14 +45,14 @@
     const size_t slash = rest.rfind('/');
     if (slash == std::string::npos) continue;
     const std::string job = rest.substr(0, slash);
-    CompletionRecord record;
-    if (!wire::ParseCompletions(item.value, &record)) continue;
-    if (!record.first_task) {
+    auto record = protocol::ParseCompletionRecord(item.value);
+    if (!record) continue;
+    if (!record->first_task) {
       const auto chunk = static_cast<uint32_t>(
           std::strtoul(rest.c_str() + slash + 1, nullptr, 10));
-      record.first_task = chunk * kTasksPerCompletionRecord;
+      record->first_task = chunk * kTasksPerCompletionRecord;
     }
-    DecodeCompletionBits(record.bits_hex, *record.first_task, kMaxTasks,
+    DecodeCompletionBits(record->bits_hex, *record->first_task, kMaxTasks,
                          &loaded_[job]);
     stored_[job].insert(item.key);
   }
@@ -136,7 +136,7 @@
   };
   // Written again, in smaller parts, under the limits that are known now.
   const auto too_large = [this, id] { MarkDirty(id); };
-  writer_->Put(key, wire::EncodeCompletions(record),
+  writer_->Put(key, protocol::EncodeCompletionRecord(record),
                {committed, too_large, /*urgent=*/false});
 }
 
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -4,7 +4,7 @@
 
 #include "base/constants.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 
@@ -29,25 +29,25 @@
     // Watching from the listing's revision brings everything later, the
     // leader key included once it is read after it.
     const uint64_t revision = result.revision;
-    context_->Get(StateConnection::kLeader, keys::kLeader,
-                  [this, sent, revision](const StateResult& got) {
-                    busy_ = false;
-                    if (got.outcome == Outcome::kOk && !got.items.empty()) {
-                      LeaderRecord leader;
-                      if (wire::ParseLeader(got.items[0].value, &leader))
-                        ApplyLeader(got.items[0].version, leader,
-                                    got.items[0].version);
-                    } else if (got.outcome == Outcome::kConflict) {
-                      ApplyLeader(0, LeaderRecord(), revision);
-                    } else {
-                      retry_at_ = context_->now + 0.3;
-                      return;
-                    }
-                    revision_ = revision;
-                    loaded_ = true;
-                    synced_at_ = std::max(synced_at_, sent);
-                    Watch();
-                  });
+    context_->Get(
+        StateConnection::kLeader, keys::kLeader,
+        [this, sent, revision](const StateResult& got) {
+          busy_ = false;
+          if (got.outcome == Outcome::kOk && !got.items.empty()) {
+            const KeyValue& item = got.items[0];
+            if (const auto leader = protocol::ParseLeaderRecord(item.value))
+              ApplyLeader(item.version, *leader, item.version);
+          } else if (got.outcome == Outcome::kConflict) {
+            ApplyLeader(0, LeaderRecord(), revision);
+          } else {
+            retry_at_ = context_->now + 0.3;
+            return;
+          }
+          revision_ = revision;
+          loaded_ = true;
+          synced_at_ = std::max(synced_at_, sent);
+          Watch();
+        });
   });
 }
 
@@ -75,11 +75,10 @@
 
 void JobCache::Apply(const KeyValue& change) {
   if (change.key == keys::kLeader) {
-    LeaderRecord leader;
     if (change.removed)
-      ApplyLeader(0, leader, change.version);
-    else if (wire::ParseLeader(change.value, &leader))
-      ApplyLeader(change.version, leader, change.version);
+      ApplyLeader(0, LeaderRecord(), change.version);
+    else if (const auto leader = protocol::ParseLeaderRecord(change.value))
+      ApplyLeader(change.version, *leader, change.version);
     return;
   }
   if (const std::string id = keys::After(change.key, keys::kLive);
@@ -89,8 +88,8 @@
   }
   if (const std::string id = keys::After(change.key, keys::kFinal);
       !id.empty() && !change.removed) {
-    FinalState state;
-    if (wire::ParseFinal(change.value, &state)) ApplyFinalState(id, state);
+    if (const auto state = protocol::ParseFinalState(change.value))
+      ApplyFinalState(id, *state);
   }
 }
 
@@ -109,12 +108,12 @@
                             const std::string& value) {
   auto known = live_.find(id);
   if (known != live_.end() && known->second.version >= version) return;
-  auto job = std::make_shared<LiveJob>();
-  if (!wire::ParseLiveJob(value, job.get()) || job->spec.id != id) {
+  auto job = protocol::ParseLiveJob(value);
+  if (!job || job->spec.id != id) {
     context_->Error("job record can't be read", {{"job", id}});
     return;
   }
-  ApplyLiveJob(id, version, std::move(job));
+  ApplyLiveJob(id, version, std::make_shared<LiveJob>(std::move(*job)));
 }
 
 void JobCache::ApplyLiveJob(const std::string& id, uint64_t version,
@@ -150,13 +149,13 @@
   // from its final key.
   for (const auto& [id, known] : live_) {
     if (present.count(id) || known.version > listing.revision) continue;
-    context_->Get(StateConnection::kLeader, keys::Final(id),
-                  [this, id = id](const StateResult& got) {
-                    FinalState state;
-                    if (got.outcome == Outcome::kOk && !got.items.empty() &&
-                        wire::ParseFinal(got.items[0].value, &state))
-                      ApplyFinalState(id, state);
-                  });
+    context_->Get(
+        StateConnection::kLeader, keys::Final(id),
+        [this, id = id](const StateResult& got) {
+          if (got.outcome != Outcome::kOk || got.items.empty()) return;
+          if (const auto state = protocol::ParseFinalState(got.items[0].value))
+            ApplyFinalState(id, *state);
+        });
   }
 }
 
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -4,7 +4,7 @@
 
 #include "base/constants.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 
@@ -130,12 +130,14 @@
         uint64_t term = 0, version = 0;
         if (got.outcome == Outcome::kOk && !got.items.empty()) {
           version = got.items[0].version;
-          if (!wire::ParseTerm(got.items[0].value, &term)) {
+          const auto stored_term = protocol::ParseTerm(got.items[0].value);
+          if (!stored_term) {
             context_->Error("term record can't be read");
             electing_ = false;
             retry_at_ = context_->now + 1;
             return;
           }
+          term = *stored_term;
         } else if (got.outcome != Outcome::kConflict) {
           electing_ = false;
           retry_at_ = context_->now + kElectionRetryS;
@@ -148,8 +150,9 @@
         context_->Transact(
             StateConnection::kLeaseRenewal,
             {{keys::kLeader, 0}, {keys::kTerm, version}},
-            {{false, keys::kLeader, wire::EncodeLeader(record), lease},
-             {false, keys::kTerm, wire::EncodeTerm(term), 0}},
+            {{false, keys::kLeader, protocol::EncodeLeaderRecord(record),
+              lease},
+             {false, keys::kTerm, protocol::EncodeTerm(term), 0}},
             [this, lease, created, record](const StateResult& result) {
               electing_ = false;
               if (result.outcome != Outcome::kOk) {
--- /dev/null
+++ b/src/protocol/cloud_codec.cc
@@ -0,0 +1,97 @@
+#include "protocol/cloud_codec.h"
+
+#include <utility>
+
+#include "protocol/field_names.h"
+#include "protocol/json_reader.h"
+
+namespace sorrelwood::protocol {
+namespace {
+
+ParseResult<MachineType> ReadMachineType(const Json& object) {
+  JsonReader reader(object);
+  MachineType type;
+  type.name = reader.String(field::kTypeName);
+  type.cpus = reader.Number(field::kCpus, 0);
+  type.gpus = reader.Number(field::kGpus, 0, Presence::kOptional);
+  type.memory_gb = reader.Number(field::kMemoryGb, 0);
+  type.cache_gb = reader.Number(field::kCacheGb, 0, Presence::kOptional);
+  type.fetch_gb_per_s =
+      reader.Number(field::kFetchGbPerS, 0, Presence::kOptional);
+  type.price = reader.Number(field::kPrice, 0);
+  type.spot_price = reader.Find(field::kSpotPrice)
+                        ? reader.Number(field::kSpotPrice, 0)
+                        : type.price;
+  type.boot_s = reader.Number(field::kBootS, 0);
+  type.zones = reader.Strings(field::kZones);
+  return reader.Finish(std::move(type));
+}
+
+MachineStatus ParseMachineStatus(const std::string& name) {
+  if (name == word::kRunning) return MachineStatus::kRunning;
+  if (name == word::kFailed) return MachineStatus::kFailed;
+  return MachineStatus::kBooting;
+}
+
+ParseResult<ListedMachine> ReadListedMachine(const Json& object) {
+  JsonReader reader(object);
+  ListedMachine machine;
+  machine.name = reader.String(field::kId);
+  machine.address = reader.String(field::kAddress, Presence::kOptional);
+  machine.type = reader.String(field::kMachineType);
+  machine.zone = reader.String(field::kZone);
+  machine.spot = reader.Bool(field::kSpot, Presence::kOptional);
+  machine.status = ParseMachineStatus(reader.String(field::kStatus));
+  machine.age_s = reader.Number(field::kAgeS, 0, Presence::kOptional);
+  return reader.Finish(std::move(machine));
+}
+
+}  // namespace
+
+std::string EncodeProvisionRequest(const ProvisioningRecord& request) {
+  return WriteJson({{field::kProvisioningName, request.name},
+                    {field::kMachineType, request.type},
+                    {field::kZone, request.zone},
+                    {field::kSpot, request.spot},
+                    {field::kMachineCount, request.count}});
+}
+
+std::string EncodeReleaseRequest(const std::vector<std::string>& machines) {
+  return WriteJson({{field::kMachines, machines}});
+}
+
+ParseResult<std::vector<MachineType>> ParseCatalog(const std::string& body) {
+  const ParseResult<Json> object = ParseJsonObject(body);
+  if (!object) return tl::unexpected(object.error());
+  auto types =
+      ReadObjects<MachineType>(*object, field::kMachineTypes, ReadMachineType);
+  if (types && types->empty())
+    return MakeParseError(field::kMachineTypes, "must not be empty");
+  return types;
+}
+
+ParseResult<std::vector<std::string>> ParseMachineNames(
+    const std::string& body) {
+  const ParseResult<Json> object = ParseJsonObject(body);
+  if (!object) return tl::unexpected(object.error());
+  JsonReader reader(*object);
+  if (!reader.Find(field::kMachines))
+    return MakeParseError(field::kMachines, "is missing");
+  return reader.Finish(reader.Strings(field::kMachines));
+}
+
+ParseResult<MachinePage> ParseMachinePage(const std::string& body) {
+  const ParseResult<Json> object = ParseJsonObject(body);
+  if (!object) return tl::unexpected(object.error());
+  JsonReader reader(*object);
+  MachinePage page;
+  page.has_more = reader.Bool(field::kHasMore, Presence::kOptional);
+  if (!reader.ok()) return tl::unexpected(reader.error());
+  auto machines =
+      ReadObjects<ListedMachine>(*object, field::kMachines, ReadListedMachine);
+  if (!machines) return tl::unexpected(machines.error());
+  page.machines = std::move(*machines);
+  return page;
+}
+
+}  // namespace sorrelwood::protocol
--- a/src/server/app.cc
+++ b/src/server/app.cc
@@ -10,7 +10,9 @@
 #include "base/constants.h"
 #include "cloud/cloud_client.h"
 #include "config/settings.h"
-#include "protocol/json.h"
+#include "protocol/client_codec.h"
+#include "protocol/field_names.h"
+#include "protocol/worker_codec.h"
 #include "state/state_client.h"
 
 namespace sorrelwood {
@@ -30,7 +32,7 @@
 
 HttpReply Error(int status, const std::string& message,
                 double retry_after_s = 0) {
-  return {status, wire::EncodeError(message), "application/json",
+  return {status, protocol::EncodeError(message), "application/json",
           retry_after_s};
 }
 
@@ -82,7 +84,7 @@
   server_ = std::make_unique<HttpServer>(
       endpoint, limits,
       [](const std::string& path) {
-        return path == wire::kHeartbeatPath          ? PeerKind::kWorker
+        return path == protocol::path::kHeartbeat    ? PeerKind::kWorker
                : path == "/up" || path == "/metrics" ? PeerKind::kOther
                                                      : PeerKind::kUser;
       },
@@ -189,7 +191,7 @@
                   {item.status, std::move(item.body), item.retry_after_s});
           } else if constexpr (std::is_same_v<T, HeartbeatResponse>) {
             Reply(item.request,
-                  {item.status, wire::EncodeHeartbeatResponse(item), 0});
+                  {item.status, protocol::EncodeHeartbeatResponse(item), 0});
           } else if constexpr (std::is_same_v<T, SendPeerStatus>) {
             for (auto& sender : senders_) sender->Post(item.note);
           } else if constexpr (std::is_same_v<T, LogEvent>) {
@@ -269,14 +271,17 @@
         if (!command) continue;
         HttpClient client(command->address, kPushTimeoutS);
         const HttpAnswer answer =
-            client.Post("/commands", wire::EncodePushedCommands(*command));
+            client.Post(protocol::path::kPushCommands,
+                        protocol::EncodePushedCommands(*command));
         PushResult result;
         result.id = command->id;
-        std::string error;
-        result.answered =
-            (answer.status == 200 || answer.status == 409) &&
-            wire::ParseHeartbeat(answer.body, &result.heartbeat, &error);
         result.accepted = answer.status == 200;
+        if (answer.status == 200 || answer.status == 409) {
+          if (auto heartbeat = protocol::ParseHeartbeat(answer.body)) {
+            result.answered = true;
+            result.heartbeat = std::move(*heartbeat);
+          }
+        }
         deliver(std::move(result));
       }
     });
@@ -307,7 +312,7 @@
   std::lock_guard lock(slot_mutex_);
   slots_.erase(request);
   if (!slot->done)
-    slot->answer = {503, wire::EncodeError("the controller is busy"), 1};
+    slot->answer = {503, protocol::EncodeError("the controller is busy"), 1};
   return slot->answer;
 }
 
@@ -333,7 +338,7 @@
   if (request.path == "/metrics")
     return {200, metrics_.Text(), "text/plain; version=0.0.4"};
   const double began = SteadyNow();
-  const bool worker = request.path == wire::kHeartbeatPath;
+  const bool worker = request.path == protocol::path::kHeartbeat;
   HttpReply reply = worker ? HandleHeartbeat(request) : HandleUser(request);
   metrics_.CountRequest(worker ? "worker" : "user", reply.status,
                         SteadyNow() - began);
@@ -342,14 +347,12 @@
 
 HttpReply App::HandleHeartbeat(const HttpRequest& request) {
   if (request.method != "POST") return Error(405, "use POST");
-  Heartbeat heartbeat;
-  std::string error;
-  if (!wire::ParseHeartbeat(request.body, &heartbeat, &error))
-    return Error(400, error);
+  auto heartbeat = protocol::ParseHeartbeat(request.body);
+  if (!heartbeat) return Error(400, heartbeat.error().Message());
   Answer answer = Ask(
       [&](uint64_t id) -> Input {
-        return [id, heartbeat = std::move(heartbeat)](Controller& c,
-                                                      Controller::Time t) {
+        return [id, heartbeat = std::move(*heartbeat)](Controller& c,
+                                                       Controller::Time t) {
           return c.OnHeartbeat(t, id, heartbeat);
         };
       },
@@ -363,14 +366,12 @@
   Answer answer;
   if (path == kRoot) {
     if (request.method != "POST") return Error(405, "use POST");
-    JobSpec spec;
-    std::string error;
-    if (!wire::ParseSubmission(request.body, &spec, &error))
-      return Error(400, error);
+    auto spec = protocol::ParseSubmission(request.body);
+    if (!spec) return Error(400, spec.error().Message());
     answer = Ask(
         [&](uint64_t id) -> Input {
           return
-              [id, spec = std::move(spec)](Controller& c, Controller::Time t) {
+              [id, spec = std::move(*spec)](Controller& c, Controller::Time t) {
                 return c.Submit(t, id, spec);
               };
         },
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -10,7 +10,6 @@
 #include "core/controller/controller.h"
 #include "core/coordination/keys.h"
 #include "core/coordination/state_writer.h"
-#include "protocol/json.h"
 #include "scripted_leader.h"
 
 namespace sorrelwood {
--- a/tests/loopback/worker.cc
+++ b/tests/loopback/worker.cc
@@ -3,7 +3,7 @@
 #include <chrono>
 
 #include "http/endpoint.h"
-#include "protocol/json.h"
+#include "protocol/field_names.h"
 
 namespace sorrelwood::test {
 namespace {
@@ -192,7 +192,7 @@
   client.set_read_timeout(kAnswerTimeoutS);
   client.set_connection_timeout(1);
   const auto result =
-      client.Post(wire::kHeartbeatPath, body, "application/json");
+      client.Post(protocol::path::kHeartbeat, body, "application/json");
   if (!result || Now() - sent_s > kAnswerTimeoutS || result->status != 200) {
     const json answer =
         result ? json::parse(result->body, nullptr, false) : json::object();
--- a/tests/wire_test.cc
+++ b/tests/protocol_test.cc
@@ -4,7 +4,11 @@
 #include <set>
 #include <string>
 
-#include "protocol/json.h"
+#include "protocol/client_codec.h"
+#include "protocol/cloud_codec.h"
+#include "protocol/state_service_codec.h"
+#include "protocol/stored_records_codec.h"
+#include "protocol/worker_codec.h"
 
 namespace sorrelwood {
 namespace {
@@ -36,18 +40,17 @@
 }
 
 TEST(Submission, IsRead) {
-  JobSpec spec;
-  std::string error;
-  ASSERT_TRUE(wire::ParseSubmission(kSubmission, &spec, &error)) << error;
-  EXPECT_EQ(spec.id, "job-000412");
-  EXPECT_EQ(spec.team, "vision");
-  EXPECT_EQ(spec.priority, Priority::kHigh);
-  EXPECT_EQ(spec.tasks, 16u);
-  EXPECT_EQ(spec.types, std::vector<std::string>{"g8"});
-  EXPECT_TRUE(spec.one_zone);
-  EXPECT_TRUE(spec.spot);
-  EXPECT_EQ(spec.zone, "");
-  EXPECT_DOUBLE_EQ(*spec.deadline_s, 900);
+  const auto spec = protocol::ParseSubmission(kSubmission);
+  ASSERT_TRUE(spec) << spec.error().Message();
+  EXPECT_EQ(spec->id, "job-000412");
+  EXPECT_EQ(spec->team, "vision");
+  EXPECT_EQ(spec->priority, Priority::kHigh);
+  EXPECT_EQ(spec->tasks, 16u);
+  EXPECT_EQ(spec->types, std::vector<std::string>{"g8"});
+  EXPECT_TRUE(spec->one_zone);
+  EXPECT_TRUE(spec->spot);
+  EXPECT_EQ(spec->zone, "");
+  EXPECT_DOUBLE_EQ(*spec->deadline_s, 900);
 }
 
 TEST(Submission, IsRefusedWithTheFieldThatIsWrong) {
@@ -69,11 +72,11 @@
       {"crew", "\"\""},
       {"due_s", "\"soon\""}};
   for (const auto& [field, value] : bad) {
-    JobSpec spec;
-    std::string error;
-    EXPECT_FALSE(wire::ParseSubmission(With(field, value), &spec, &error))
-        << field << " " << value;
-    EXPECT_NE(error.find(field), std::string::npos) << error;
+    const auto spec = protocol::ParseSubmission(With(field, value));
+    ASSERT_FALSE(spec) << field << " " << value;
+    const std::string message = spec.error().Message();
+    EXPECT_NE(message.find(field), std::string::npos) << message;
+    EXPECT_EQ(spec.error().field, field);
   }
 }
 
@@ -87,11 +90,9 @@
     std::string body = kSubmission;  // the same field under another name
     body.replace(body.find("\"" + std::string(field) + "\":") + 1,
                  std::string(field).size(), "other");
-    JobSpec spec;
-    std::string error;
-    EXPECT_EQ(wire::ParseSubmission(body, &spec, &error), may.count(field) > 0)
+    EXPECT_EQ(protocol::ParseSubmission(body).has_value(), may.count(field) > 0)
         << field;
-    EXPECT_EQ(wire::ParseSubmission(With(field, "null"), &spec, &error),
+    EXPECT_EQ(protocol::ParseSubmission(With(field, "null")).has_value(),
               may.count(field) > 0)
         << field;
   }
@@ -100,44 +101,40 @@
 TEST(Submission, MalformedBodiesAreRefused) {
   for (const char* body :
        {"", "{", "[]", "7", "null", "{}", "\xff\xfe", "{\"uid\":\"job-1\"}"}) {
-    JobSpec spec;
-    std::string error;
-    EXPECT_FALSE(wire::ParseSubmission(body, &spec, &error)) << body;
-    EXPECT_FALSE(error.empty());
+    const auto spec = protocol::ParseSubmission(body);
+    ASSERT_FALSE(spec) << body;
+    EXPECT_FALSE(spec.error().Message().empty());
   }
 }
 
 TEST(Submission, SurvivesItsRecord) {
-  LiveJob job, back;
-  std::string error;
-  ASSERT_TRUE(wire::ParseSubmission(kSubmission, &job.spec, &error));
-  job.submitted_wall_s = 1234.5;
-  ASSERT_TRUE(wire::ParseLiveJob(wire::EncodeLiveJob(job), &back));
-  EXPECT_EQ(back.spec.id, job.spec.id);
-  EXPECT_EQ(back.spec.image, "img-07");
-  EXPECT_EQ(back.spec.priority, Priority::kHigh);
-  EXPECT_DOUBLE_EQ(back.spec.checkpoint_s, 30);
-  EXPECT_DOUBLE_EQ(back.submitted_wall_s, 1234.5);
+  const auto spec = protocol::ParseSubmission(kSubmission);
+  ASSERT_TRUE(spec);
+  const auto job =
+      protocol::ParseLiveJob(protocol::EncodeLiveJob({*spec, 1234.5}));
+  ASSERT_TRUE(job);
+  EXPECT_EQ(job->spec.id, spec->id);
+  EXPECT_EQ(job->spec.image, "img-07");
+  EXPECT_EQ(job->spec.priority, Priority::kHigh);
+  EXPECT_DOUBLE_EQ(job->spec.checkpoint_s, 30);
+  EXPECT_DOUBLE_EQ(job->submitted_wall_s, 1234.5);
 }
 
 TEST(Report, IsRead) {
-  Heartbeat heartbeat;
-  std::string error;
-  ASSERT_TRUE(wire::ParseHeartbeat(
+  const auto heartbeat = protocol::ParseHeartbeat(
       R"({"perch":"n-000231","endpoint":"10.1.0.232:9000","build":"g8",
           "room":"a","loaners":true,"shift":1,"tick":88,"baton":41,
           "warning_s":null,
           "parts":[{"part":"job-000412/3","try":2,"status":"running"},
                    {"part":"job-000398/0","try":1,"status":"ended",
-                    "cause":"done"}]})",
-      &heartbeat, &error))
-      << error;
-  EXPECT_EQ(heartbeat.machine, "n-000231");
-  EXPECT_EQ(heartbeat.fencing_token, 41u);
-  EXPECT_FALSE(heartbeat.preemption_notice_s);
-  ASSERT_EQ(heartbeat.tasks.size(), 2u);
-  EXPECT_EQ(heartbeat.tasks[0].task, 3u);
-  EXPECT_EQ(heartbeat.tasks[1].reason, ExitReason::kDone);
+                    "cause":"done"}]})");
+  ASSERT_TRUE(heartbeat) << heartbeat.error().Message();
+  EXPECT_EQ(heartbeat->machine, "n-000231");
+  EXPECT_EQ(heartbeat->fencing_token, 41u);
+  EXPECT_FALSE(heartbeat->preemption_notice_s);
+  ASSERT_EQ(heartbeat->tasks.size(), 2u);
+  EXPECT_EQ(heartbeat->tasks[0].task, 3u);
+  EXPECT_EQ(heartbeat->tasks[1].reason, ExitReason::kDone);
 }
 
 TEST(Report, MalformedOnesAreRefused) {
@@ -147,10 +144,9 @@
             "parts":[{"part":"job-1","try":1,"status":"running"}]})",
         R"({"perch":"n-1","build":"x","room":"a","shift":1,"tick":2,
             "parts":[3]})"}) {
-    Heartbeat heartbeat;
-    std::string error;
-    EXPECT_FALSE(wire::ParseHeartbeat(body, &heartbeat, &error)) << body;
-    EXPECT_FALSE(error.empty());
+    const auto heartbeat = protocol::ParseHeartbeat(body);
+    ASSERT_FALSE(heartbeat) << body;
+    EXPECT_FALSE(heartbeat.error().Message().empty());
   }
 }
 
@@ -160,40 +156,35 @@
   answer.commands = {{CommandKind::kStart, "job-1", 4, 2, 0},
                      {CommandKind::kStop, "job-2", 1, 1, 10},
                      {CommandKind::kForget, "job-3", 0, 1, 0}};
-  const std::string text = wire::EncodeHeartbeatResponse(answer);
+  const std::string text = protocol::EncodeHeartbeatResponse(answer);
   for (const char* part : {"\"baton\":41", "\"launch\"", "\"job-1/4\"",
                            "\"halt\"", "\"leeway_s\":10", "\"clear\""})
     EXPECT_NE(text.find(part), std::string::npos) << text;
   answer.status = 421;
   answer.redirect = "perch-2";
-  EXPECT_EQ(wire::EncodeHeartbeatResponse(answer), R"({"steward":"perch-2"})");
+  EXPECT_EQ(protocol::EncodeHeartbeatResponse(answer),
+            R"({"steward":"perch-2"})");
 }
 
 TEST(StateService, AnswersThatMakeNoSenseAreRefused) {
-  StateResult result;
-  bool more = false;
-  EXPECT_FALSE(wire::ParseRevision("{}", &result));
-  EXPECT_FALSE(wire::ParseRevision("[1]", &result));
-  EXPECT_FALSE(wire::ParseItems(R"({"epoch":3,"pairs":7})", &result, &more));
-  EXPECT_FALSE(wire::ParseEvents(R"({"epoch":3,"news":[{}]})", &result));
-  EXPECT_FALSE(wire::ParseLease("null", &result));
-  EXPECT_TRUE(wire::ParseEvents(
+  EXPECT_FALSE(protocol::ParseTransactionAnswer("{}"));
+  EXPECT_FALSE(protocol::ParseTransactionAnswer("[1]"));
+  EXPECT_FALSE(protocol::ParseItemPage(R"({"epoch":3,"pairs":7})"));
+  EXPECT_FALSE(protocol::ParseWatchAnswer(R"({"epoch":3,"news":[{}]})"));
+  EXPECT_FALSE(protocol::ParseLease("null"));
+  const auto watched = protocol::ParseWatchAnswer(
       R"({"epoch":433,"news":[{"set":"c/9","data":{},"stamp":433},
-                              {"remove":"c/d","stamp":432}]})",
-      &result));
-  ASSERT_EQ(result.items.size(), 2u);
-  EXPECT_TRUE(result.items[1].removed);
+                              {"remove":"c/d","stamp":432}]})");
+  ASSERT_TRUE(watched);
+  ASSERT_EQ(watched->changes.size(), 2u);
+  EXPECT_TRUE(watched->changes[1].removed);
 }
 
 TEST(Cloud, MalformedAnswersAreRefused) {
-  std::vector<MachineType> types;
-  std::vector<ListedMachine> list;
-  std::vector<std::string> names;
-  bool more = false;
-  EXPECT_FALSE(wire::ParseCatalog("{\"builds\":[]}", &types));
-  EXPECT_FALSE(wire::ParseCatalog("{\"builds\":[{\"name\":\"x\"}]}", &types));
-  EXPECT_FALSE(wire::ParseMachineNames("{\"perches\":[1]}", &names));
-  EXPECT_FALSE(wire::ParseMachineList("{\"perches\":{}}", &list, &more));
+  EXPECT_FALSE(protocol::ParseCatalog("{\"builds\":[]}"));
+  EXPECT_FALSE(protocol::ParseCatalog("{\"builds\":[{\"name\":\"x\"}]}"));
+  EXPECT_FALSE(protocol::ParseMachineNames("{\"perches\":[1]}"));
+  EXPECT_FALSE(protocol::ParseMachinePage("{\"perches\":{}}"));
 }
 
 }  // namespace
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -15,7 +15,7 @@
 #include "base/constants.h"
 #include "core/controller/controller.h"
 #include "core/coordination/keys.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood::test {
 
@@ -37,7 +37,7 @@
     settings_.heartbeat_interval_s = heartbeat_interval_s;
     settings_.objectives = {{"wait", "urgent", 3, 1}};
     controller_ = std::make_unique<Controller>(settings_, policy_, 5);
-    keys_["sw/term"] = {wire::EncodeTerm(kOldToken), 1};
+    keys_["sw/term"] = {protocol::EncodeTerm(kOldToken), 1};
   }
 
   static PolicySettings Policy(double hold_s, double base_share) {
@@ -49,7 +49,7 @@
 
   void AddMachineRecord(const std::string& name) {
     MachineRecord record{name, "big", "a", name + ":1", false};
-    keys_[keys::Machine(name)] = {wire::EncodeMachineRecord(record),
+    keys_[keys::Machine(name)] = {protocol::EncodeMachineRecord(record),
                                   ++revision_};
   }
   // An earlier leader knows it when it is there before the election.
@@ -72,7 +72,7 @@
       job.spec.save_s = 1;
     }
     job.submitted_wall_s = 1e6 + now_;
-    keys_[keys::Live(id)] = {wire::EncodeLiveJob(job), ++revision_};
+    keys_[keys::Live(id)] = {protocol::EncodeLiveJob(job), ++revision_};
     news_.push_back({keys::Live(id), keys_[keys::Live(id)].first, revision_});
   }
 
@@ -80,7 +80,7 @@
   void Add(LiveJob job) {
     const std::string id = job.spec.id;
     job.submitted_wall_s = 1e6 + now_;
-    keys_[keys::Live(id)] = {wire::EncodeLiveJob(job), ++revision_};
+    keys_[keys::Live(id)] = {protocol::EncodeLiveJob(job), ++revision_};
     news_.push_back({keys::Live(id), keys_[keys::Live(id)].first, revision_});
   }
 
@@ -97,7 +97,7 @@
     job.spec.cpus = cpus;
     job.spec.memory_gb = 1;
     job.submitted_wall_s = 1e6 + now_;
-    keys_[keys::Live(id)] = {wire::EncodeLiveJob(job), ++revision_};
+    keys_[keys::Live(id)] = {protocol::EncodeLiveJob(job), ++revision_};
     news_.push_back({keys::Live(id), keys_[keys::Live(id)].first, revision_});
   }
 
@@ -144,7 +144,8 @@
   // The process stands still: the clock goes on, nothing is heard.
   void StandStill(double seconds) { now_ += seconds; }
   void SetLeader(const std::string& node, uint64_t term) {
-    keys_[keys::kLeader] = {wire::EncodeLeader({node, term}), ++revision_};
+    keys_[keys::kLeader] = {protocol::EncodeLeaderRecord({node, term}),
+                            ++revision_};
     news_.push_back({keys::kLeader, keys_[keys::kLeader].first, revision_});
   }
   void RemoveLeader() {
@@ -178,8 +179,8 @@
        records_unanswered = false;
   void Cancel(const std::string& id) {
     keys_.erase(keys::Live(id));
-    keys_[keys::Final(id)] = {wire::EncodeFinal(FinalState::kCancelled),
-                              ++revision_};
+    keys_[keys::Final(id)] = {
+        protocol::EncodeFinalState(FinalState::kCancelled), ++revision_};
     news_.push_back({keys::Live(id), "", revision_});
     news_.push_back({keys::Final(id), keys_[keys::Final(id)].first, revision_});
   }
--- a/tests/simulation/action_digest.cc
+++ b/tests/simulation/action_digest.cc
@@ -3,7 +3,10 @@
 #include <variant>
 
 #include "peer/mesh.h"
-#include "protocol/json.h"
+#include "protocol/cloud_codec.h"
+#include "protocol/state_service_codec.h"
+#include "protocol/stored_records_codec.h"
+#include "protocol/worker_codec.h"
 
 namespace sorrelwood::test {
 
@@ -24,7 +27,7 @@
 void ActionDigest::Take(const StateTransaction& action) {
   Count(action.id);
   Count(static_cast<int>(action.connection));
-  Text(wire::EncodeTransaction(action));
+  Text(protocol::EncodeTransaction(action));
 }
 void ActionDigest::Take(const StateGet& action) {
   Count(action.id);
@@ -55,19 +58,19 @@
 void ActionDigest::Take(const FetchCatalog& action) { Count(action.id); }
 void ActionDigest::Take(const ProvisionMachines& action) {
   Count(action.id);
-  Text(wire::EncodeProvisioningRecord(action.rent));
+  Text(protocol::EncodeProvisioningRecord(action.rent));
   Number(action.not_after);
 }
 void ActionDigest::Take(const ReleaseMachines& action) {
   Count(action.id);
-  Text(wire::EncodeRelease(action.machines));
+  Text(protocol::EncodeReleaseRequest(action.machines));
   Number(action.not_after);
 }
 void ActionDigest::Take(const ListCloudMachines& action) { Count(action.id); }
 void ActionDigest::Take(const PushedCommands& action) {
   Count(action.id);
   Text(action.machine);
-  Text(wire::EncodePushedCommands(action));
+  Text(protocol::EncodePushedCommands(action));
 }
 void ActionDigest::Take(const ClientResponse& action) {
   Count(action.request);
@@ -78,7 +81,7 @@
 void ActionDigest::Take(const HeartbeatResponse& action) {
   Count(action.request);
   Count(action.status);
-  Text(wire::EncodeHeartbeatResponse(action));
+  Text(protocol::EncodeHeartbeatResponse(action));
 }
 void ActionDigest::Take(const SendPeerStatus& action) {
   Text(EncodePeerStatus(action.note));
--- a/tests/simulation/simulated_cluster.cc
+++ b/tests/simulation/simulated_cluster.cc
@@ -9,7 +9,7 @@
 
 #include "base/constants.h"
 #include "core/autoscaling/release_reason.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood::test {
 namespace {
@@ -1393,11 +1393,11 @@
   for (auto it = keys_.lower_bound(prefix);
        it != keys_.end() && it->first.compare(0, prefix.size(), prefix) == 0;
        ++it) {
-    CompletionRecord record;
-    if (!wire::ParseCompletions(it->second.value, &record)) continue;
-    const uint32_t first = record.first_task.value_or(0);
-    if (task < first || (task - first) / 4 >= record.bits_hex.size()) continue;
-    const std::string digit = record.bits_hex.substr((task - first) / 4, 1);
+    const auto record = protocol::ParseCompletionRecord(it->second.value);
+    if (!record) continue;
+    const uint32_t first = record->first_task.value_or(0);
+    if (task < first || (task - first) / 4 >= record->bits_hex.size()) continue;
+    const std::string digit = record->bits_hex.substr((task - first) / 4, 1);
     if (std::stoi(digit, nullptr, 16) >> ((task - first) % 4) & 1) return true;
   }
   return false;
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -11,7 +11,7 @@
 #include "core/coordination/completion_store.h"
 #include "core/coordination/keys.h"
 #include "core/coordination/state_writer.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 namespace {
@@ -209,15 +209,17 @@
 // must be nothing that it can read.
 TEST(Progress, APartIsNoWholeChunk) {
   CompletionRecord part{4096, "ff"};
-  EXPECT_EQ(wire::EncodeCompletions(part), R"({"bits":"ff","from":4096})");
-  CompletionRecord read;
-  ASSERT_TRUE(wire::ParseCompletions(wire::EncodeCompletions(part), &read));
-  EXPECT_EQ(read.first_task, 4096u);
-  EXPECT_EQ(read.bits_hex, "ff");
+  EXPECT_EQ(protocol::EncodeCompletionRecord(part),
+            R"({"bits":"ff","from":4096})");
+  const auto read =
+      protocol::ParseCompletionRecord(protocol::EncodeCompletionRecord(part));
+  ASSERT_TRUE(read);
+  EXPECT_EQ(read->first_task, 4096u);
+  EXPECT_EQ(read->bits_hex, "ff");
   for (const char* bad :
        {"{}", "7", "[]", R"({"from":1})", R"({"from":-1,"bits":"f"})",
         R"({"from":100000,"bits":"f"})", R"({"from":0,"bits":"xyz"})"})
-    EXPECT_FALSE(wire::ParseCompletions(bad, &read)) << bad;
+    EXPECT_FALSE(protocol::ParseCompletionRecord(bad)) << bad;
 }
 
 // Users' submissions under a limit on values.
@@ -268,7 +270,7 @@
             LiveJob job;
             job.spec = spec;
             result.outcome = Outcome::kOk;
-            result.items = {{get->key, wire::EncodeLiveJob(job), 4, false}};
+            result.items = {{get->key, protocol::EncodeLiveJob(job), 4, false}};
           }
         } else {
           continue;
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "peer/mesh.h"
-#include "protocol/json.h"
+#include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
 namespace {
@@ -23,7 +23,7 @@
     R"("one_zone":false,"parts":3,"roster":"web","scatter":true,)"
     R"("shape":"daemon","size_gb":0.0,"stash_s":0.0,"uid":"job-7",)"
     R"("urgency":"prod"}})";
-const char kRent[] =
+const char kProvisioning[] =
     R"({"answered":true,"count":2,"machines":["n-000001","n-000002"],)"
     R"("name":"r-7-1","spot":true,"type":"g8","zone":"a"})";
 const char kMachine[] =
@@ -36,37 +36,40 @@
 
 TEST(StoredForms, JobsAreWrittenAndReadToTheByte) {
   for (const std::string stored : {kArrayJob, kServiceJob}) {
-    LiveJob job;
-    ASSERT_TRUE(wire::ParseLiveJob(stored, &job));
-    EXPECT_EQ(wire::EncodeLiveJob(job), stored);
+    const auto job = protocol::ParseLiveJob(stored);
+    ASSERT_TRUE(job);
+    EXPECT_EQ(protocol::EncodeLiveJob(*job), stored);
   }
-  LiveJob service;
-  ASSERT_TRUE(wire::ParseLiveJob(kServiceJob, &service));
-  EXPECT_EQ(service.spec.shape, JobShape::kService);
-  EXPECT_EQ(service.spec.tasks, 3u);
+  const auto service = protocol::ParseLiveJob(kServiceJob);
+  ASSERT_TRUE(service);
+  EXPECT_EQ(service->spec.shape, JobShape::kService);
+  EXPECT_EQ(service->spec.tasks, 3u);
 }
 
 TEST(StoredForms, RecordsAreWrittenAndReadToTheByte) {
-  ProvisioningRecord rent;
-  ASSERT_TRUE(wire::ParseProvisioningRecord(kRent, &rent));
-  EXPECT_EQ(rent.machines.size(), 2u);
-  EXPECT_EQ(wire::EncodeProvisioningRecord(rent), kRent);
-  MachineRecord machine;
-  ASSERT_TRUE(wire::ParseMachineRecord(kMachine, &machine));
-  EXPECT_EQ(wire::EncodeMachineRecord(machine), kMachine);
-  LeaderRecord leader;
-  ASSERT_TRUE(wire::ParseLeader(R"({"node":"perch-1","term":7})", &leader));
-  EXPECT_EQ(wire::EncodeLeader(leader), R"({"node":"perch-1","term":7})");
-  uint64_t term = 0;
-  ASSERT_TRUE(wire::ParseTerm(R"({"term":7})", &term));
-  EXPECT_EQ(wire::EncodeTerm(term), R"({"term":7})");
-  EXPECT_EQ(wire::EncodeFinal(FinalState::kDone), R"("done")");
-  EXPECT_EQ(wire::EncodeFinal(FinalState::kCancelled), R"("cancelled")");
-  CompletionRecord progress;
-  ASSERT_TRUE(wire::ParseCompletions(R"("0f3")", &progress));
-  EXPECT_EQ(progress.bits_hex, "0f3");
-  EXPECT_FALSE(progress.first_task.has_value());
-  EXPECT_EQ(wire::EncodeCompletions(progress), R"("0f3")");
+  const auto request = protocol::ParseProvisioningRecord(kProvisioning);
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->machines.size(), 2u);
+  EXPECT_EQ(protocol::EncodeProvisioningRecord(*request), kProvisioning);
+  const auto machine = protocol::ParseMachineRecord(kMachine);
+  ASSERT_TRUE(machine);
+  EXPECT_EQ(protocol::EncodeMachineRecord(*machine), kMachine);
+  const auto leader =
+      protocol::ParseLeaderRecord(R"({"node":"perch-1","term":7})");
+  ASSERT_TRUE(leader);
+  EXPECT_EQ(protocol::EncodeLeaderRecord(*leader),
+            R"({"node":"perch-1","term":7})");
+  const auto term = protocol::ParseTerm(R"({"term":7})");
+  ASSERT_TRUE(term);
+  EXPECT_EQ(protocol::EncodeTerm(*term), R"({"term":7})");
+  EXPECT_EQ(protocol::EncodeFinalState(FinalState::kDone), R"("done")");
+  EXPECT_EQ(protocol::EncodeFinalState(FinalState::kCancelled),
+            R"("cancelled")");
+  const auto completions = protocol::ParseCompletionRecord(R"("0f3")");
+  ASSERT_TRUE(completions);
+  EXPECT_EQ(completions->bits_hex, "0f3");
+  EXPECT_FALSE(completions->first_task.has_value());
+  EXPECT_EQ(protocol::EncodeCompletionRecord(*completions), R"("0f3")");
 }
 
 TEST(StoredForms, NotesAreWrittenAndReadToTheByte) {
