--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -185,9 +185,9 @@
 
 // Owners' run time estimates: the least that is believed (s), the furthest that
 // a class may be off, and the weight of one more task seen.
-inline constexpr double kLeastEstimateS = 1.0;
-inline constexpr double kMostEstimateRatio = 3.0;
-inline constexpr double kEstimateLearning = 0.02;
+inline constexpr double kMinEstimateS = 1.0;
+inline constexpr double kMaxEstimateCorrection = 3.0;
+inline constexpr double kEstimateLearningRate = 0.02;
 // A replica that has run for so long (s) is well: a fetch and a start are over,
 // and a fault of the machine or of the job shows within half a second.
 inline constexpr double kReplicaStableS = 10.0;
@@ -204,7 +204,7 @@
 // A class that is to start at once and of which nothing has come yet may need
 // any machine: so many of the cheapest ordinary ones are kept, spread.
 inline constexpr double kUnseenClassHeadroomMachines = 6.0;
-inline constexpr size_t kMostArrivals = 200;  // remembered of a class
+inline constexpr size_t kMaxArrivals = 200;  // remembered of a class
 // How often tasks are stopped for waiting replicas (s).
 inline constexpr double kPreemptEveryS = 0.5;
 // A service runs until it is cancelled: longer than any planning looks (s).
@@ -212,11 +212,11 @@
 // A job that has missed all of its aims lets others go first, and a large one
 // lets small ones of its team, until it is this old (s): less than the longest
 // day of sustained overload, so that none waits for ever.
-inline constexpr double kYieldS = 300.0;
+inline constexpr double kOrderByObjectiveMaxAgeS = 300.0;
 // A job of which nothing has run yet goes before all others from this age on
 // (s): the operators want every job, the largest too, to begin within 240 s,
 // and room has to come free first.
-inline constexpr double kBeginS = 120.0;
+inline constexpr double kStarvationAgeS = 120.0;
 // How often the queue's order is judged anew (s).
 inline constexpr double kRankEveryS = 0.5;
 
@@ -230,7 +230,7 @@
 inline constexpr double kLeastTaskCpus = 0.1;  // counted for a task
 inline constexpr double kReserveJobs = 1.0;    // how many usual jobs it holds
 // Weight of one more job in what is usual for its class.
-inline constexpr double kUsualLearning = 0.2;
+inline constexpr double kClassProfileLearningRate = 0.2;
 
 // --- Load spread
 // How often it is looked at whether running tasks should move (s): a report
--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -267,8 +267,8 @@
 bool Autoscaler::JobAllows(const Job& job, const MachineType& type,
                            const std::string& zone, bool spot) const {
   const JobSpec& spec = job.spec();
-  if (spec.one_zone && !job.attempts_in_zone.empty() &&
-      job.attempts_in_zone.begin()->first != zone)
+  if (spec.one_zone && !job.progress.attempts_in_zone.empty() &&
+      job.progress.attempts_in_zone.begin()->first != zone)
     return false;
   if (!Placement::AllowsLocation(spec, type, zone, spot)) return false;
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus &&
@@ -292,17 +292,18 @@
 std::map<std::string, double> Autoscaler::TeamLeft() const {
   std::map<std::string, double> left;
   for (const Team& team : settings_->teams)
-    left[team.name] = team.cpus_max - jobs_->use(team.name).cpus;
+    left[team.name] = team.cpus_max - jobs_->UsageOf(team.name).cpus;
   return left;
 }
 
 double Autoscaler::MayStartTask(
     const Job& job, std::map<std::string, double>* team_left) const {
-  if (job.pending.empty() || job.finishing || context_->now < job.retry_at)
+  if (job.progress.pending.empty() || job.finishing ||
+      context_->now < job.failures.retry_at)
     return 0;
   double& left = (*team_left)[job.spec().team];
-  double count =
-      job.PendingNow(context_->now) - static_cast<double>(job.waiting.size());
+  double count = job.RunnableTasks(context_->now) -
+                 static_cast<double>(job.speculation.waiting_since.size());
   if (job.spec().cpus > 0)
     count = std::min(count, std::floor(left / job.spec().cpus + 1e-6));
   count = std::max(0.0, count);
@@ -370,7 +371,7 @@
           (attempt.running_since > 0 ? context_->now - attempt.running_since
                                      : 0);
       room.core_seconds -= Cores(job->spec(), *machine->type) *
-                           std::clamp(left, kLeastEstimateS, drain_s);
+                           std::clamp(left, kMinEstimateS, drain_s);
     }
     rooms.push_back(room);
   }
@@ -422,8 +423,8 @@
   if (!job.spec().spread) return kNoLimit;
   const uint32_t most = (job.spec().tasks + 1) / 2;
   double left = most;
-  if (auto it = job.attempts_in_zone.find(zone);
-      it != job.attempts_in_zone.end())
+  if (auto it = job.progress.attempts_in_zone.find(zone);
+      it != job.progress.attempts_in_zone.end())
     left -= it->second;
   if (auto it = planned.find(zone); it != planned.end()) left -= it->second;
   return std::max(0.0, left);
@@ -493,8 +494,8 @@
       cores += it->second * offer.type->cpus;
   std::map<std::string, double> team_left;  // core-seconds, by the team's limit
   for (Job* job : jobs_->queue()) {
-    if (job->pending.empty() || job->finishing || job->failing() ||
-        job->spec().IsService() || context_->now < job->retry_at)
+    if (job->progress.pending.empty() || job->finishing || job->failing() ||
+        job->spec().IsService() || context_->now < job->failures.retry_at)
       continue;
     const JobSpec& spec = job->spec();
     // An aim that is past, or that comes before a machine could be up and do
@@ -503,7 +504,7 @@
     double slack = jobs_->Slack(*job, settings_->objectives, context_->wall,
                                 policy_.dear_drain_s);
     if (slack < kDearBoots * boot_s) slack = policy_.dear_drain_s;
-    const double count = job->pending.size();
+    const double count = job->progress.pending.size();
     const double each = std::min(jobs_->Estimate(spec), slack) * spec.cpus;
     double limit = 0;
     for (const Team& team : settings_->teams)
@@ -541,7 +542,7 @@
                   [&](const Objective& objective) {
                     return objective.kind == "wait" &&
                            objective.within_s <= kImmediateStartWithinS &&
-                           !jobs_->Usual(objective.job_class);
+                           !jobs_->ProfileOf(objective.job_class);
                   });
   const MachineType* smallest = nullptr;
   for (const auto& [name, type] : types_)
@@ -614,7 +615,7 @@
   for (Placement::Headroom& need : HeadroomNeeds()) {
     for (const auto& [id, job] : jobs_->all())
       if (job->spec().job_class == need.job_class && !job->failing())
-        need.slots += job->pending.size();
+        need.slots += job->progress.pending.size();
     const double of_a_zone = need.OfAZone();
     std::map<std::string, double> free;  // by zone
     const auto coming = [&](const MachineType& type, const std::string& zone,
--- a/src/core/balance/load_bounds.cc
+++ b/src/core/balance/load_bounds.cc
@@ -12,8 +12,8 @@
 }  // namespace
 
 double LoadBounds::PendingCpus(const Job& job, double now, double* left_cpus) {
-  if (job.pending.empty() || job.finishing) return 0;
-  const double wanted = job.PendingNow(now) * job.spec().cpus;
+  if (job.progress.pending.empty() || job.finishing) return 0;
+  const double wanted = job.RunnableTasks(now) * job.spec().cpus;
   const double granted = std::clamp(wanted, 0.0, std::max(0.0, *left_cpus));
   *left_cpus -= granted;
   return granted;
@@ -26,7 +26,7 @@
   std::map<std::string, double> left_cpus;
   team_demand_cpus_.clear();
   for (const Team& team : settings_->teams) {
-    const double in_use = jobs_->use(team.name).cpus;
+    const double in_use = jobs_->UsageOf(team.name).cpus;
     team_demand_cpus_[team.name] = in_use;
     left_cpus[team.name] = team.cpus_max - in_use;
   }
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -189,7 +189,7 @@
   moves_[key] = move;
   moved_at_[key] = context_->now;
   if (Job* job = jobs_->Find(key.job))
-    job->moved_ran_s[key.task] =
+    job->speculation.ran_before_move_s[key.task] =
         attempt->ran_before_s + context_->now - attempt->running_since;
   ++begun_;
   attempt->stop = true;
@@ -237,7 +237,7 @@
   const bool place_is_good = to && !to->role.excess &&
                              placement_->AcceptsTasks(*to) &&
                              placement_->IsEligible(*job, *to);
-  const bool may_start = job->pending.Contains(task) &&
+  const bool may_start = job->progress.pending.Contains(task) &&
                          placement_->MayStartTask(*job) &&
                          placement_->WithinQuota(*job);
   if (!place_is_good || !may_start) {
--- a/src/core/controller/scheduler.cc
+++ b/src/core/controller/scheduler.cc
@@ -159,7 +159,8 @@
                                 {"team", job->spec().team}});
   next_rank_ = 0;  // with the next tick: a takeover brings hundreds at once
   completions_.Restore(job);
-  if (job->done.size() == job->spec().tasks) completed_jobs_.push_back(id);
+  if (job->progress.done.size() == job->spec().tasks)
+    completed_jobs_.push_back(id);
 }
 
 void Scheduler::OnJobEnded(const std::string& id, FinalState) {
@@ -167,7 +168,7 @@
   Job* job = jobs_.Find(id);
   if (!job) return;
   // Whatever of it may still be on a machine must go, and counts until then.
-  const auto attempt = job->machine_of_task;
+  const auto attempt = job->progress.machine_of_task;
   for (const auto& [task, name] : attempt) {
     Machine* machine = machines_.Find(name);
     if (!machine) continue;
@@ -407,8 +408,8 @@
   }
   if (machine->attempts.count(key))
     return;  // with another attempt: judged by it
-  auto elsewhere = job->machine_of_task.find(task.task);
-  if (elsewhere != job->machine_of_task.end()) {
+  auto elsewhere = job->progress.machine_of_task.find(task.task);
+  if (elsewhere != job->progress.machine_of_task.end()) {
     Machine* other = machines_.Find(elsewhere->second);
     auto it =
         other ? other->attempts.find(key) : decltype(machine->attempts.end())();
@@ -429,7 +430,7 @@
   attempt.state = task.state;
   attempt.running_since = task.state == TaskState::kRunning ? context_->now : 0;
   attempt.speculative = !machine->role.baseline;
-  attempt.stop = job->done.Contains(task.task);
+  attempt.stop = job->progress.done.Contains(task.task);
   jobs_.Place(job, task.task, machine->name, machine->zone);
   machine->AddAttempt(key, std::move(attempt));
   machine->TouchImage(job->spec().image);
@@ -477,14 +478,15 @@
         machine->health.refused_until = context_->now + kRefusedStartPauseS;
       return;
     case ExitReason::kUnknown:
-      if (attempt && job) job->retry_at = context_->now + kJobRetryPauseS;
+      if (attempt && job)
+        job->failures.retry_at = context_->now + kJobRetryPauseS;
       return;
     case ExitReason::kStopped:
     case ExitReason::kNone:
-      if (!job || !job->pending.Contains(task.task)) return;
-      if (waiting) job->waiting[task.task] = context_->now;
-      if (rented && !job->rented.Contains(task.task))
-        job->rented.Add(task.task);
+      if (!job || !job->progress.pending.Contains(task.task)) return;
+      if (waiting) job->speculation.waiting_since[task.task] = context_->now;
+      if (rented && !job->speculation.run_on_rented.Contains(task.task))
+        job->speculation.run_on_rented.Add(task.task);
       return;
   }
 }
@@ -535,24 +537,24 @@
 // The job's failures elsewhere tell of those machines.
 void Scheduler::OnTaskSucceeded(Job* job) {
   const std::set<std::string> failed_on =
-      std::exchange(job->error_machines, {});
-  job->error_rounds = 0;
-  job->retry_at = 0;
+      std::exchange(job->failures.machines, {});
+  job->failures.rounds = 0;
+  job->failures.retry_at = 0;
   for (const std::string& name : failed_on)
     if (Machine* other = machines_.Find(name)) ReassessQuarantine(other);
 }
 
 void Scheduler::OnTaskCompleted(Job* job, uint32_t task) {
-  if (job->done.Contains(task)) return;
+  if (job->progress.done.Contains(task)) return;
   jobs_.MarkDone(job, task);
   OnTaskSucceeded(job);
-  if (job->done.size() == job->spec().tasks)
+  if (job->progress.done.size() == job->spec().tasks)
     completed_jobs_.push_back(job->id());
   else
     completions_.MarkDirty(job->id());
   // Its result is kept: another attempt of it, if there is one, is of no use.
-  auto elsewhere = job->machine_of_task.find(task);
-  if (elsewhere == job->machine_of_task.end()) return;
+  auto elsewhere = job->progress.machine_of_task.find(task);
+  if (elsewhere == job->progress.machine_of_task.end()) return;
   Machine* machine = machines_.Find(elsewhere->second);
   if (!machine) return;
   auto it = machine->attempts.find({job->id(), task});
@@ -568,23 +570,24 @@
     context_->Debug(
         "task failed",
         {{"job", job->id()}, {"task", task}, {"machine", machine->name}});
-  job->last_error_at = context_->now;
-  const bool news = job->error_machines.insert(machine->name).second;
-  if (job->failing() && context_->now >= job->retry_at) {
+  job->failures.last_error_at = context_->now;
+  const bool news = job->failures.machines.insert(machine->name).second;
+  if (job->failing() && context_->now >= job->failures.retry_at) {
     // Tried again at a falling rate, however many tasks of a round fail.
     const double pause =
-        kJobRetryPauseS * std::pow(2.0, std::min(++job->error_rounds, 10));
-    job->retry_at = context_->now + std::min(pause, kJobRetryPauseMaxS);
+        kJobRetryPauseS * std::pow(2.0, std::min(++job->failures.rounds, 10));
+    job->failures.retry_at =
+        context_->now + std::min(pause, kJobRetryPauseMaxS);
   }
   if (news && job->broken() &&
-      job->error_machines.size() == kBrokenJobMachines) {
+      job->failures.machines.size() == kBrokenJobMachines) {
     context_->Info("job fails on every machine", {{"job", job->id()}});
     // Those that were set aside for it are taken back.
-    for (const std::string& name : job->error_machines)
+    for (const std::string& name : job->failures.machines)
       if (Machine* other = machines_.Find(name)) ReassessQuarantine(other);
   }
-  if (proven && ++job->task_errors[task] >= kBrokenTaskErrors) return;
-  if (job->ends_by_itself) return;  // it tells nothing of machines
+  if (proven && ++job->failures.task_errors[task] >= kBrokenTaskErrors) return;
+  if (job->replicas.ends_by_itself) return;  // it tells nothing of machines
   ++machine->health.errors[job->id()];
   ReassessQuarantine(machine);
 }
@@ -653,7 +656,7 @@
       // forget. A replica is never complete.
       const bool keep = task.reason == ExitReason::kDone && job &&
                         !job->spec().IsService() &&
-                        !job->committed.Contains(task.task);
+                        !job->progress.committed.Contains(task.task);
       if (!keep)
         orders.push_back(
             {CommandKind::kForget, task.job, task.task, task.attempt, 0});
@@ -816,11 +819,11 @@
     for (const Job* job : jobs_.queue()) {
       if (job->spec().team != team.name) continue;
       ++jobs;
-      pending += job->pending.size() * job->spec().cpus;
-      backlog_s = job->team_backlog_s;
+      pending += job->progress.pending.size() * job->spec().cpus;
+      backlog_s = job->queue_position.team_backlog_s;
     }
     context_->Debug("team usage", {{"team", team.name},
-                                   {"cpus_used", jobs_.use(team.name).cpus},
+                                   {"cpus_used", jobs_.UsageOf(team.name).cpus},
                                    {"cpus_max", team.cpus_max},
                                    {"cpus_pending", pending},
                                    {"jobs", jobs},
@@ -833,10 +836,10 @@
   if (!active_) return counts;
   for (const auto& [id, job] : jobs_.all())
     counts.push_back(
-        {id, job->done.size(),
+        {id, job->progress.done.size(),
          static_cast<uint32_t>(job->spec().IsService()
                                    ? machines_.RunningReplicas(*job)
-                                   : job->machine_of_task.size())});
+                                   : job->progress.machine_of_task.size())});
   return counts;
 }
 
@@ -844,8 +847,8 @@
   Statistics f;
   f.jobs = jobs_.all().size();
   for (const auto& [id, job] : jobs_.all()) {
-    f.pending += job->pending.size();
-    f.placed += job->machine_of_task.size();
+    f.pending += job->progress.pending.size();
+    f.placed += job->progress.machine_of_task.size();
   }
   f.machines = machines_.all().size();
   for (const auto& [name, machine] : machines_.all())
--- a/src/core/coordination/completion_store.cc
+++ b/src/core/coordination/completion_store.cc
@@ -64,7 +64,7 @@
   for (const auto& [first, last] : loaded->second.ranges()) {
     for (uint32_t n = first; n < std::min(last, job->spec().tasks); ++n) {
       jobs_->MarkDone(job, n);
-      job->committed.Add(n);
+      job->progress.committed.Add(n);
     }
   }
 }
@@ -95,7 +95,7 @@
   for (const std::string& id : std::exchange(dirty_jobs_, {})) {
     Job* job = jobs_->Find(id);
     const uint32_t tasks = job ? job->spec().tasks : 0;
-    if (!job || job->done.size() == tasks) continue;
+    if (!job || job->progress.done.size() == tasks) continue;
     for (uint32_t begin = 0; begin < tasks; begin += kTasksPerCompletionRecord)
       WriteChunk(job, begin,
                  std::min(begin + kTasksPerCompletionRecord, tasks));
@@ -124,7 +124,7 @@
   if (AllCommitted(*job, done)) return;
   const std::string id = job->id();
   CompletionRecord record;
-  record.bits_hex = EncodeCompletionBits(job->done, begin, end);
+  record.bits_hex = EncodeCompletionBits(job->progress.done, begin, end);
   if (part) record.first_task = begin;
   stored_[id].insert(key);
   const auto committed = [this, id, done] {
@@ -132,7 +132,8 @@
     if (!written) return;
     for (const auto& [first, last] : done.ranges())
       for (uint32_t n = first; n < last; ++n)
-        if (!written->committed.Contains(n)) written->committed.Add(n);
+        if (!written->progress.committed.Contains(n))
+          written->progress.committed.Add(n);
   };
   // Written again, in smaller parts, under the limits that are known now.
   const auto too_large = [this, id] { MarkDirty(id); };
@@ -143,7 +144,7 @@
 IntervalSet CompletionStore::DoneWithin(const Job& job, uint32_t begin,
                                         uint32_t end) {
   IntervalSet done;
-  for (const auto& [first, last] : job.done.ranges()) {
+  for (const auto& [first, last] : job.progress.done.ranges()) {
     const uint32_t from = std::max(first, begin);
     const uint32_t to = std::min(last, end);
     if (from < to) done.Add(from, to);
@@ -154,7 +155,7 @@
 bool CompletionStore::AllCommitted(const Job& job, const IntervalSet& tasks) {
   for (const auto& [first, last] : tasks.ranges())
     for (uint32_t n = first; n < last; ++n)
-      if (!job.committed.Contains(n)) return false;
+      if (!job.progress.committed.Contains(n)) return false;
   return true;
 }
 
--- /dev/null
+++ b/src/core/jobs/run_time_estimator.cc
@@ -0,0 +1,29 @@
+#include "core/jobs/run_time_estimator.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+
+namespace sorrelwood {
+
+double RunTimeEstimator::OwnersEstimate(const JobSpec& spec) {
+  return std::max(kMinEstimateS, spec.estimate_s);
+}
+
+double RunTimeEstimator::Estimate(const JobSpec& spec) const {
+  if (spec.IsService()) return kServiceEstimateS;
+  const auto it = correction_.find(spec.job_class);
+  const double correction = it == correction_.end() ? 1.0 : it->second;
+  return OwnersEstimate(spec) * correction;
+}
+
+void RunTimeEstimator::Learn(const JobSpec& spec, double ran_s) {
+  const double ratio =
+      std::clamp(ran_s / OwnersEstimate(spec), 1 / kMaxEstimateCorrection,
+                 kMaxEstimateCorrection);
+  double& correction =
+      correction_.try_emplace(spec.job_class, 1.0).first->second;
+  correction += (ratio - correction) * kEstimateLearningRate;
+}
+
+}  // namespace sorrelwood
--- a/src/core/machines/machine_table.cc
+++ b/src/core/machines/machine_table.cc
@@ -100,7 +100,7 @@
 
 size_t MachineTable::RunningReplicas(const Job& job) const {
   size_t running = 0;
-  for (const auto& [task, name] : job.machine_of_task) {
+  for (const auto& [task, name] : job.progress.machine_of_task) {
     const auto machine = machines_.find(name);
     if (machine == machines_.end()) continue;
     const auto it = machine->second->attempts.find({job.id(), task});
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -10,9 +10,10 @@
 namespace sorrelwood {
 
 bool Placement::MayStartTask(const Job& job) const {
-  if (job.pending.empty() || job.finishing || context_->now < job.retry_at)
+  if (job.progress.pending.empty() || job.finishing ||
+      context_->now < job.failures.retry_at)
     return false;
-  if (job.failing() && !job.machine_of_task.empty()) return false;
+  if (job.failing() && !job.progress.machine_of_task.empty()) return false;
   // A task of a job that an earlier leader knew may be on a machine that has
   // not been heard: guards against running it twice.
   return !(job.from_earlier_term && unreconciled_machines_ > 0);
@@ -22,7 +23,7 @@
   constexpr double kRounding = 1e-6;
   for (const Team& team : settings_->teams) {
     if (team.name != job.spec().team) continue;
-    TeamUse use = jobs_->use(team.name);
+    TeamUsage use = jobs_->UsageOf(team.name);
     if (!job.spec().IsService())
       if (auto it = service_claims_.find(team.name);
           it != service_claims_.end())
@@ -38,7 +39,7 @@
 bool Placement::WithinGuarantee(const Job& job) const {
   for (const Team& team : settings_->teams) {
     if (team.name != job.spec().team) continue;
-    const TeamUse use = jobs_->use(team.name);
+    const TeamUsage use = jobs_->UsageOf(team.name);
     return use.cpus + job.spec().cpus <= team.cpus &&
            use.gpus + job.spec().gpus <= team.gpus;
   }
@@ -50,22 +51,24 @@
 // since the time without them is what counts.
 bool Placement::HasPrecedence(const Job& job) const {
   return job.spec().IsService() ||
-         (job.starving && job.machine_of_task.empty()) || WithinGuarantee(job);
+         (job.queue_position.starving &&
+          job.progress.machine_of_task.empty()) ||
+         WithinGuarantee(job);
 }
 
 bool Placement::IsEligible(const Job& job, const Machine& machine) const {
   const JobSpec& spec = job.spec();
   // It failed there: another machine tells which of the two is at fault.
-  if (!job.error_machines.empty() &&
-      context_->now < job.last_error_at + kSuspectMachineAvoidS &&
-      job.error_machines.count(machine.name))
+  if (!job.failures.machines.empty() &&
+      context_->now < job.failures.last_error_at + kSuspectMachineAvoidS &&
+      job.failures.machines.count(machine.name))
     return false;
   if (!machine.type ||
       !AllowsLocation(spec, *machine.type, machine.zone, machine.spot))
     return false;
-  if (spec.one_zone && !job.attempts_in_zone.empty() &&
-      (job.attempts_in_zone.size() > 1 ||
-       job.attempts_in_zone.begin()->first != machine.zone))
+  if (spec.one_zone && !job.progress.attempts_in_zone.empty() &&
+      (job.progress.attempts_in_zone.size() > 1 ||
+       job.progress.attempts_in_zone.begin()->first != machine.zone))
     return false;
   return SpreadAllows(job, machine.zone, 0);
 }
@@ -73,8 +76,9 @@
 bool Placement::SpreadAllows(const Job& job, const std::string& zone,
                              uint32_t more) {
   if (!job.spec().spread) return true;
-  const auto it = job.attempts_in_zone.find(zone);
-  const uint32_t there = it == job.attempts_in_zone.end() ? 0 : it->second;
+  const auto it = job.progress.attempts_in_zone.find(zone);
+  const uint32_t there =
+      it == job.progress.attempts_in_zone.end() ? 0 : it->second;
   return there + more < (job.spec().tasks + 1) / 2;
 }
 
@@ -101,16 +105,17 @@
 }
 
 std::optional<uint32_t> Placement::NextTask(const Job& job, bool owned) const {
-  if (job.failing() && !job.machine_of_task.empty()) return std::nullopt;
+  if (job.failing() && !job.progress.machine_of_task.empty())
+    return std::nullopt;
   if (owned) {
-    for (const auto& [task, since] : job.waiting)
-      if (job.pending.Contains(task)) return task;
+    for (const auto& [task, since] : job.speculation.waiting_since)
+      if (job.progress.pending.Contains(task)) return task;
     return std::nullopt;
   }
-  for (const auto& [first, last] : job.pending.ranges())
+  for (const auto& [first, last] : job.progress.pending.ranges())
     for (uint32_t task = first; task < last; ++task)
-      if (!job.waiting.count(task) &&
-          !job.InRestartBackoff(task, context_->now))
+      if (!job.speculation.waiting_since.count(task) &&
+          !job.replicas.InRestartBackoff(task, context_->now))
         return task;
   return std::nullopt;
 }
@@ -125,13 +130,14 @@
   attempt.gpus = spec.gpus;
   attempt.memory_gb = spec.memory_gb;
   attempt.record = job->record;
-  attempt.speculative = !machine->role.baseline && !job->rented.Contains(task);
-  if (const auto moved = job->moved_ran_s.find(task);
-      moved != job->moved_ran_s.end()) {
+  attempt.speculative =
+      !machine->role.baseline && !job->speculation.run_on_rented.Contains(task);
+  if (const auto moved = job->speculation.ran_before_move_s.find(task);
+      moved != job->speculation.ran_before_move_s.end()) {
     attempt.ran_before_s = moved->second;
-    job->moved_ran_s.erase(moved);
+    job->speculation.ran_before_move_s.erase(moved);
   }
-  job->waiting.erase(task);
+  job->speculation.waiting_since.erase(task);
   if (spec.IsService()) service_claims_[spec.team] -= spec.cpus;
   jobs_->Place(job, task, machine->name, machine->zone);
   machine->AddAttempt({job->id(), task}, std::move(attempt));
@@ -197,7 +203,7 @@
 double Placement::SlotsUnderLimit(const JobSpec& spec) const {
   for (const Team& team : settings_->teams) {
     if (team.name != spec.team) continue;
-    const double left = team.cpus_max - jobs_->use(team.name).cpus;
+    const double left = team.cpus_max - jobs_->UsageOf(team.name).cpus;
     return std::max(0.0,
                     std::floor(left / std::max(spec.cpus, kLeastTaskCpus)));
   }
@@ -245,7 +251,7 @@
         std::find(classes.begin(), classes.end(), job_class) == classes.end())
       classes.push_back(job_class);
   for (const std::string& job_class : classes) {
-    const ClassProfile* usual = jobs_->Usual(job_class);
+    const ClassProfile* usual = jobs_->ProfileOf(job_class);
     if (!usual) continue;
     Reserve reserve;
     reserve.job_class = job_class;
@@ -350,7 +356,7 @@
 size_t Placement::ReplicasOn(const Job& job, const Machine& machine) {
   if (!job.spec().IsService()) return 0;
   return static_cast<size_t>(std::count_if(
-      job.machine_of_task.begin(), job.machine_of_task.end(),
+      job.progress.machine_of_task.begin(), job.progress.machine_of_task.end(),
       [&](const auto& item) { return item.second == machine.name; }));
 }
 
@@ -364,7 +370,7 @@
   for (const Job* job : jobs_->services()) {
     if (!MayStartTask(*job)) continue;
     service_claims_[job->spec().team] +=
-        job->PendingNow(context_->now) * job->spec().cpus;
+        job->RunnableTasks(context_->now) * job->spec().cpus;
   }
 }
 
@@ -519,7 +525,7 @@
   if (owed.empty()) return;
   std::map<std::string, double> beyond, due;  // CPUs, by team
   for (const Team& team : settings_->teams) {
-    const double use = jobs_->use(team.name).cpus;
+    const double use = jobs_->UsageOf(team.name).cpus;
     beyond[team.name] = use - team.cpus;
     due[team.name] = team.cpus - use;
   }
@@ -552,7 +558,7 @@
       return spec.cpus <= room.cpus && spec.memory_gb <= room.memory_gb;
     };
     double& left = due[spec.team];
-    double count = job->pending.size();
+    double count = job->progress.pending.size();
     const auto wanted = [&] {
       return count >= 1 && left >= std::max(spec.cpus, 1e-6);
     };
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -73,7 +73,7 @@
   double limit = kNoLimit;
   for (const Team& team : settings_->teams)
     if (team.name == spec.team) limit = team.cpus_max;
-  double left = limit - jobs_->use(spec.team).cpus;
+  double left = limit - jobs_->UsageOf(spec.team).cpus;
   if (waiting * spec.cpus <= left + kRounding) return waiting;
   std::vector<std::pair<double, TaskAttempt*>> candidates;
   for (auto& [name, machine] : machines_->all()) {
@@ -118,7 +118,7 @@
 void Preemption::MakeRoomFor(const Job& job, std::vector<Room>* rooms) {
   const JobSpec& spec = job.spec();
   uint32_t waiting =
-      placement_->MayStartTask(job) ? job.PendingNow(context_->now) : 0;
+      placement_->MayStartTask(job) ? job.RunnableTasks(context_->now) : 0;
   if (spec.cpus > 0) waiting = MakeRoomUnderLimit(job, waiting);
   if (waiting == 0) return;
   // Those that were stopped for the limit are room by now.
@@ -159,7 +159,7 @@
 void Preemption::PreemptForServices() {
   std::vector<Room> rooms;
   for (const Job* job : jobs_->services()) {
-    if (job->pending.empty()) continue;
+    if (job->progress.pending.empty()) continue;
     MakeRoomFor(*job, &rooms);
   }
 }
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -13,19 +13,19 @@
       context_->now - attempt->running_since < kReplicaStableS)
     return false;
   attempt->stable = true;
-  job->restarts.erase(task);
-  job->replica_succeeded = true;
+  job->replicas.restarts.erase(task);
+  job->replicas.succeeded = true;
   return true;
 }
 
 void ReplicaManager::Ended(Job* job, uint32_t task, double ran_s) {
   ++restarted_;
   if (ran_s >= kReplicaStableS) {
-    job->restarts.erase(task);
-    job->ends_by_itself = true;
+    job->replicas.restarts.erase(task);
+    job->replicas.ends_by_itself = true;
     return;
   }
-  ReplicaRestarts& restarts = job->restarts[task];
+  ReplicaRestarts& restarts = job->replicas.restarts[task];
   ++restarts.quick_ends;
   if (restarts.quick_ends == 1) return;
   const int doublings = std::min(restarts.quick_ends - 1, 10);
--- a/src/core/scheduling/wait_predictor.cc
+++ b/src/core/scheduling/wait_predictor.cc
@@ -5,12 +5,6 @@
 
 namespace sorrelwood {
 
-FeatureVector ToVector(const WaitFeatures& f) {
-  return {f.cpu_utilisation,   f.memory_utilisation, f.running,
-          f.waiting,           f.running_mean_cpus,  f.running_mean_age_s,
-          f.waiting_mean_cpus, f.waiting_mean_age_s, f.cpus};
-}
-
 void WaitPredictor::Learn(const FeatureVector& features, double wait_s) {
   if (auto predicted = Predict(features)) {
     error_sum_ += std::abs(*predicted - wait_s);
--- a/src/core/scheduling/wait_predictor.h
+++ b/src/core/scheduling/wait_predictor.h
@@ -3,31 +3,16 @@
 // sample of the waits seen so far, averaged.
 #pragma once
 
-#include <array>
 #include <deque>
 #include <optional>
 #include <random>
 #include <vector>
 
+#include "core/jobs/wait_features.h"
 #include "core/model/settings.h"
 
 namespace sorrelwood {
 
-struct WaitFeatures {
-  double cpu_utilisation = 0;     // of owned machines
-  double memory_utilisation = 0;  // of owned machines
-  double running = 0;             // tasks running on owned machines
-  double waiting = 0;             // tasks waiting
-  double running_mean_cpus = 0;
-  double running_mean_age_s = 0;
-  double waiting_mean_cpus = 0;
-  double waiting_mean_age_s = 0;
-  double cpus = 0;  // that the new job asks for
-};
-inline constexpr size_t kWaitFeatureCount = 9;
-using FeatureVector = std::array<double, kWaitFeatureCount>;
-FeatureVector ToVector(const WaitFeatures& features);
-
 class WaitPredictor {
  public:
   WaitPredictor(const PolicySettings& policy, uint64_t seed)
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -29,7 +29,7 @@
   }
   double waiting_cpus = 0, waiting_age = 0;
   for (const Job* job : jobs_->queue()) {
-    const double count = job->pending.size();
+    const double count = job->progress.pending.size();
     f.waiting += count;
     waiting_cpus += count * job->spec().cpus;
     waiting_age += count * (context_->now - job->queued_at);
@@ -42,11 +42,12 @@
 }
 
 void WaitingPolicy::LearnStart(Job* job, const Machine& machine) {
-  if (job->sampled || !machine.role.baseline || job->features.empty()) return;
-  job->sampled = true;
-  FeatureVector features;
-  std::copy(job->features.begin(), job->features.end(), features.begin());
-  predictor_.Learn(features, context_->now - job->queued_at);
+  if (job->speculation.wait_sampled || !machine.role.baseline ||
+      !job->speculation.arrival_features)
+    return;
+  job->speculation.wait_sampled = true;
+  predictor_.Learn(*job->speculation.arrival_features,
+                   context_->now - job->queued_at);
 }
 
 void WaitingPolicy::Tick() {
@@ -56,17 +57,17 @@
     predictor_.Fit();
   }
   for (Job* job : jobs_->queue()) {
-    if (job->features.empty()) {
-      const FeatureVector features = ToVector(Observe(job->spec().cpus));
-      job->features.assign(features.begin(), features.end());
+    if (!job->speculation.arrival_features) {
+      job->speculation.arrival_features = ToVector(Observe(job->spec().cpus));
     }
     std::vector<uint32_t> overdue;
-    for (const auto& [task, since] : job->waiting)
+    for (const auto& [task, since] : job->speculation.waiting_since)
       if (context_->now - since >= policy_.wait_limit_s)
         overdue.push_back(task);
     for (uint32_t task : overdue) {
-      job->waiting.erase(task);
-      if (!job->rented.Contains(task)) job->rented.Add(task);
+      job->speculation.waiting_since.erase(task);
+      if (!job->speculation.run_on_rented.Contains(task))
+        job->speculation.run_on_rented.Add(task);
       ++rented_;
     }
   }
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -77,7 +77,7 @@
   Machine* busy = AddMachine("n-1");
   AddMachine("n-2");
   Job* job = Run(busy, 8);
-  job->pending.Add(100, 124);
+  job->progress.pending.Add(100, 124);
   bounds_.Update(0);
   EXPECT_DOUBLE_EQ(bounds_.OfAll(*busy), 20);
   EXPECT_TRUE(bounds_.Allow(*job, *busy));
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -176,7 +176,7 @@
   complete(0, 20000);
   complete(99990, 99995);
   store.Run(10, [&] { progress.Write(); });
-  EXPECT_EQ(job->committed.size(), 20005u);
+  EXPECT_EQ(job->progress.committed.size(), 20005u);
   EXPECT_EQ(store.refused(), 0);
   for (const auto& [key, value] : store.values())
     EXPECT_EQ(value[0], '"') << key << " is not in the form of before";
@@ -186,7 +186,7 @@
   complete(20000, 20003);
   complete(70001, 70002);
   store.Run(30, [&] { progress.Write(); });
-  EXPECT_EQ(job->committed.ranges(), job->done.ranges());
+  EXPECT_EQ(job->progress.committed.ranges(), job->progress.done.ranges());
   EXPECT_LE(store.refused(), 4);
 
   // The next leader reads both forms.
@@ -196,7 +196,7 @@
   Job* again = next_jobs.Add(ArrayOf(kTasks), 1, true, 0);
   next.Restore(again);
   next.FinishLoading();
-  EXPECT_EQ(again->done.ranges(), job->done.ranges());
+  EXPECT_EQ(again->progress.done.ranges(), job->progress.done.ranges());
   next.Remove("job-1");
   store.Run(10, nullptr);
   EXPECT_TRUE(store.values().empty());
