--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -46,6 +46,7 @@
   std::string job;
   uint32_t task = 0;
 
+  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
   auto operator<=>(const TaskId&) const = default;
 };
 
