--- a/src/config/settings.cc
+++ b/src/config/settings.cc
@@ -159,40 +159,44 @@
 void ReadWaitingPolicy(const config::WaitingPolicy& waiting,
                        const RangeCheck& check, PolicySettings* settings) {
   if (waiting.has_speculation_s())
-    settings->speculation_s = check("waiting_policy.speculation_s",
-                                    waiting.speculation_s(), 1, kMostSeconds);
+    settings->speculation_limit_s =
+        check("waiting_policy.speculation_s", waiting.speculation_s(), 1,
+              kMostSeconds);
   if (waiting.has_wait_limit_s())
     settings->wait_limit_s = check("waiting_policy.wait_limit_s",
                                    waiting.wait_limit_s(), 1, kMostSeconds);
   if (waiting.has_refit_s())
-    settings->refit_s =
+    settings->predictor_fit_interval_s =
         check("waiting_policy.refit_s", waiting.refit_s(), 1, kMostSeconds);
   if (waiting.has_tree_depth())
     settings->tree_depth =
         check.Count("waiting_policy.tree_depth", waiting.tree_depth(), 1, 12);
   if (waiting.has_tree_leaf_samples())
-    settings->tree_leaf = check.Count("waiting_policy.tree_leaf_samples",
-                                      waiting.tree_leaf_samples(), 1, 1000);
+    settings->tree_min_leaf_samples =
+        check.Count("waiting_policy.tree_leaf_samples",
+                    waiting.tree_leaf_samples(), 1, 1000);
   if (waiting.has_tree_count())
     settings->tree_count =
         check.Count("waiting_policy.tree_count", waiting.tree_count(), 1, 50);
   if (waiting.has_tree_samples())
-    settings->tree_samples = check.Count("waiting_policy.tree_samples",
-                                         waiting.tree_samples(), 10, 20000);
+    settings->tree_max_samples = check.Count("waiting_policy.tree_samples",
+                                             waiting.tree_samples(), 10, 20000);
 }
 
 void ReadFleet(const config::Fleet& fleet, const RangeCheck& check,
                PolicySettings* settings) {
   if (fleet.has_hold_s())
-    settings->hold_s = check("fleet.hold_s", fleet.hold_s(), 0, kMostSeconds);
+    settings->idle_release_delay_s =
+        check("fleet.hold_s", fleet.hold_s(), 0, kMostSeconds);
   if (fleet.has_drain_s())
-    settings->drain_s =
+    settings->backlog_limit_s =
         check("fleet.drain_s", fleet.drain_s(), 1, kMostSeconds);
   if (fleet.has_dear_drain_s())
-    settings->dear_drain_s =
+    settings->premium_backlog_limit_s =
         check("fleet.dear_drain_s", fleet.dear_drain_s(), 1, kMostSeconds);
   if (fleet.has_base_share())
-    settings->base_share = check("fleet.base_share", fleet.base_share(), 0, 10);
+    settings->baseline_initial_share =
+        check("fleet.base_share", fleet.base_share(), 0, 10);
   if (fleet.has_use_spot()) settings->use_spot = fleet.use_spot();
 }
 
@@ -206,16 +210,16 @@
     settings->headroom =
         check("load_spread.headroom", spread.headroom(), 0.05, 4);
   if (spread.has_begin_imbalance())
-    settings->begin_imbalance =
+    settings->start_imbalance =
         check("load_spread.begin_imbalance", spread.begin_imbalance(), 0.01, 1);
   if (spread.has_end_imbalance())
-    settings->end_imbalance =
+    settings->stop_imbalance =
         check("load_spread.end_imbalance", spread.end_imbalance(), 0, 1);
   if (spread.has_lasting_s())
-    settings->lasting_s =
+    settings->min_imbalance_duration_s =
         check("load_spread.lasting_s", spread.lasting_s(), 1, kLongestPauseS);
   if (spread.has_pause_s())
-    settings->pause_s =
+    settings->cooldown_s =
         check("load_spread.pause_s", spread.pause_s(), 10, kLongestPauseS);
   if (spread.has_moves_per_minute())
     settings->moves_per_minute =
@@ -230,12 +234,12 @@
         check.Count("load_spread.job_moves_per_minute",
                     spread.job_moves_per_minute(), 1, kMostMoves);
   if (spread.has_hold_place_s())
-    settings->hold_place_s =
+    settings->reservation_timeout_s =
         check("load_spread.hold_place_s", spread.hold_place_s(), 2, 120);
   if (spread.has_most_fetches())
-    settings->most_fetches =
+    settings->max_concurrent_fetches =
         check.Count("load_spread.most_fetches", spread.most_fetches(), 1, 100);
-  if (settings->end_imbalance >= settings->begin_imbalance)
+  if (settings->stop_imbalance >= settings->start_imbalance)
     check.Wrong("load_spread.end_imbalance: must be less than begin_imbalance");
 }
 
@@ -252,8 +256,8 @@
   const Section top(&object, "", error);
   s->node = top.Text("node_name");
   s->zone = top.Text("site");
-  s->listen = top.Address("serve_on");
-  s->peer_listen = top.Address("mesh_addr");
+  s->listen_address = top.Address("serve_on");
+  s->peer_listen_address = top.Address("mesh_addr");
   std::set<std::string> names{s->node};
   for (const Section& item : top.List("siblings")) {
     Peer peer{item.Text("node_name"), item.Text("site"), item.Address("addr")};
@@ -291,37 +295,38 @@
     objective.kind = item.Text("kind");
     objective.job_class = item.OptionalText("class");
     objective.within_s = item.Number("within_s", 0, kMostSeconds, &none);
-    objective.times = item.Number("times", 0, kMostCount, &once);
+    objective.deadline_factor = item.Number("times", 0, kMostCount, &once);
     if (wrong.empty())
       s->objectives.push_back(std::move(objective));
     else
-      s->ignored.push_back(wrong);
+      s->ignored_objectives.push_back(wrong);
   }
   const Section workers = cluster.Sub("workers");
   s->heartbeat_interval_s = workers.Number("report_s", 0.01, kMostSeconds);
   s->worker_lease_s = workers.Number("lease_s", 0.1, kMostSeconds);
   s->cancel_deadline_s = workers.Number("cancel_s", 0.1, kMostSeconds);
   const Section state = cluster.Sub("state");
-  s->state_rps = state.Number("rps", 0.1, kMostCount);
-  s->state_write_rps = state.Number("write_rps", 0.1, kMostCount);
-  s->state_value_kb = state.Number("value_kb", 0.1, kMostCount);
-  s->state_txn_ops = static_cast<int>(state.Number("txn_ops", 2, 1e6));
+  s->state_requests_per_s = state.Number("rps", 0.1, kMostCount);
+  s->state_mutations_per_s = state.Number("write_rps", 0.1, kMostCount);
+  s->state_max_value_kib = state.Number("value_kb", 0.1, kMostCount);
+  s->state_max_mutations_per_transaction =
+      static_cast<int>(state.Number("txn_ops", 2, 1e6));
   if (state.Has("next")) {
     const Section next = state.Sub("next");
     // What it does not name stays as it is.
-    const double mutations = s->state_txn_ops;
-    s->state_next = StateLimits{
-        next.Number("write_rps", 0.1, kMostCount, &s->state_write_rps),
-        next.Number("value_kb", 0.1, kMostCount, &s->state_value_kb),
+    const double mutations = s->state_max_mutations_per_transaction;
+    s->next_state_limits = StateLimits{
+        next.Number("write_rps", 0.1, kMostCount, &s->state_mutations_per_s),
+        next.Number("value_kb", 0.1, kMostCount, &s->state_max_value_kib),
         static_cast<int>(next.Number("txn_ops", 2, 1e6, &mutations))};
   }
   const Section cloud = cluster.Sub("cloud");
-  s->cloud_rps = cloud.Number("rps", 0.01, kMostCount);
-  s->list_lag_s = cloud.Number("list_lag_s", 0, kMostSeconds);
+  s->cloud_requests_per_s = cloud.Number("rps", 0.01, kMostCount);
+  s->cloud_list_lag_s = cloud.Number("list_lag_s", 0, kMostSeconds);
   const Section limits = cluster.Sub("machine_limits");
-  s->sockets = static_cast<int>(
+  s->socket_limit = static_cast<int>(
       limits.Number("sockets", kOwnSockets + kLeastConnections, 1e6));
-  s->memory_mib = limits.Number("ram_mb", 0, kMostCount, &none);
+  s->memory_limit_mib = limits.Number("ram_mb", 0, kMostCount, &none);
   if (MostThreads(*s) < kLeastThreads)
     limits.Wrong("ram_mb", "is too little: " + std::to_string(MostThreads(*s)) +
                                " requests at once would fit, " +
@@ -331,14 +336,14 @@
 }
 
 size_t MostConnections(const ClusterSettings& settings) {
-  return static_cast<size_t>(std::max(0, settings.sockets - kOwnSockets));
+  return static_cast<size_t>(std::max(0, settings.socket_limit - kOwnSockets));
 }
 
 size_t MostThreads(const ClusterSettings& settings) {
   double most = kMostThreads;
-  if (settings.memory_mib > 0) {
+  if (settings.memory_limit_mib > 0) {
     const double kib =
-        (settings.memory_mib - kCoreMemoryMib) * 1024 -
+        (settings.memory_limit_mib - kCoreMemoryMib) * 1024 -
         static_cast<double>(MostConnections(settings)) * kConnectionKib;
     most = std::min(most, kib / kRequestKib);
   }
@@ -352,9 +357,9 @@
 
 size_t MostMachines(const ClusterSettings& settings) {
   const size_t by_connections = MostWorkers(settings);
-  if (settings.memory_mib <= 0) return by_connections;
+  if (settings.memory_limit_mib <= 0) return by_connections;
   const double left_kib =
-      (settings.memory_mib - kCoreMemoryMib) * 1024 -
+      (settings.memory_limit_mib - kCoreMemoryMib) * 1024 -
       static_cast<double>(MostConnections(settings)) * kConnectionKib -
       static_cast<double>(kLeastThreads) * kRequestKib;
   const double by_memory = std::max(0.0, left_kib / kMachineKib);
@@ -363,7 +368,8 @@
 
 std::string DescribeCapacity(const ClusterSettings& settings) {
   const size_t machines = MostMachines(settings);
-  const double records_per_s = settings.state_write_rps * kLeaderWriteShare;
+  const double records_per_s =
+      settings.state_mutations_per_s * kLeaderWriteShare;
   std::ostringstream text;
   text << "the settings carry up to " << machines << " machines, bounded by "
        << (machines < MostWorkers(settings) ? "memory" : "sockets")
--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -22,9 +22,9 @@
       job_cache_(job_cache),
       limits_(limits),
       settings_(settings),
-      check_every_s_(std::max(kCheckBatchS,
-                              static_cast<double>(settings->peers.size() + 1) /
-                                  (settings->state_rps * kCheckShare))) {}
+      check_every_s_(std::max(
+          kCheckBatchS, static_cast<double>(settings->peers.size() + 1) /
+                            (settings->state_requests_per_s * kCheckShare))) {}
 
 void JobApi::Tick() {
   std::vector<uint64_t> late;
@@ -55,7 +55,7 @@
 // taking the state service's requests from renewals and the leader's writes.
 bool JobApi::MayLookUp() {
   const double rate = std::max(
-      kLeastLookUps, settings_->state_rps * kLookUpShare /
+      kLeastLookUps, settings_->state_requests_per_s * kLookUpShare /
                          static_cast<double>(settings_->peers.size() + 1));
   look_ups_ = std::min(rate, look_ups_ + (context_->now - look_ups_at_) * rate);
   look_ups_at_ = context_->now;
--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -47,7 +47,8 @@
   }
   double guaranteed = 0;
   for (const Team& team : settings_->teams) guaranteed += team.cpus;
-  base_most_ = base_target_ = load_ = guaranteed * policy_.base_share;
+  base_most_ = base_target_ = load_ =
+      guaranteed * policy_.baseline_initial_share;
 }
 
 void Autoscaler::Clear() {
@@ -63,7 +64,7 @@
 }
 
 bool Autoscaler::TakeCall() {
-  const double rate = settings_->cloud_rps * kCloudRateShare;
+  const double rate = settings_->cloud_requests_per_s * kCloudRateShare;
   calls_ = std::min(rate, calls_ + (context_->now - calls_at_) * rate);
   calls_at_ = context_->now;
   if (calls_ < 1) return false;
@@ -160,7 +161,7 @@
     if (m->lifecycle.idle_since == 0) m->lifecycle.idle_since = context_->now;
     if (!m->role.baseline && !m->role.for_services &&
         context_->now - std::max(m->lifecycle.idle_since, held_up_at_) >
-            policy_.hold_s)
+            policy_.idle_release_delay_s)
       Release(m, ReleaseReason::kIdle);
   }
 }
@@ -169,16 +170,17 @@
 // ----------------------------------------------------------------------
 
 double Autoscaler::ListIntervalS() const {
-  return std::max(kListEveryS,
-                  static_cast<double>(list_pages_) /
-                      (settings_->cloud_rps * kCloudRateShare * kListShare));
+  return std::max(kListEveryS, static_cast<double>(list_pages_) /
+                                   (settings_->cloud_requests_per_s *
+                                    kCloudRateShare * kListShare));
 }
 
 void Autoscaler::ReadList() {
   listing_ = true;
   next_list_ = context_->now + ListIntervalS();
   const double sent = context_->now;
-  const double page_pause_s = 1 / (settings_->cloud_rps * kCloudRateShare);
+  const double page_pause_s =
+      1 / (settings_->cloud_requests_per_s * kCloudRateShare);
   context_->ListMachines(page_pause_s, [this, sent, generation = generation_](
                                            const CloudResult& result) {
     if (generation != generation_) return;
@@ -220,7 +222,7 @@
   }
   // One that was listed and no longer is has been taken. Returning it is the
   // proof; a list alone is none.
-  const double lag = 2 * settings_->list_lag_s + ListIntervalS();
+  const double lag = 2 * settings_->cloud_list_lag_s + ListIntervalS();
   for (auto& [name, machine] : machines_->all()) {
     if (present.count(name) || machine->lifecycle.terminating) continue;
     // One that an earlier leader recorded was rented before we were elected: a
@@ -228,7 +230,7 @@
     // record was lost. Guards against a takeover that is held up by the records
     // of machines that no longer exist, however many.
     if (machine->lifecycle.from_earlier_term && !machine->lifecycle.listed &&
-        sent > machine->lifecycle.rented_at + 2 * settings_->list_lag_s +
+        sent > machine->lifecycle.rented_at + 2 * settings_->cloud_list_lag_s +
                    kListMarginS &&
         context_->now - machine->contact.last_contact_at >
             kSilentHeartbeats * settings_->heartbeat_interval_s) {
@@ -406,8 +408,9 @@
         (!dear && price(offer) > cheapest * kDearRatio))
       continue;
     const double fit = std::max(
-        1.0, std::floor(offer.type->cpus * policy_.drain_s /
-                        CoreSeconds(spec, *offer.type, policy_.drain_s)));
+        1.0,
+        std::floor(offer.type->cpus * policy_.backlog_limit_s /
+                   CoreSeconds(spec, *offer.type, policy_.backlog_limit_s)));
     const auto also = wanted.find(offer.Key());
     const std::pair<double, int> cost{offer.price / std::min(fit, count),
                                       also == wanted.end() ? 0 : also->second};
@@ -435,7 +438,7 @@
   const JobSpec& spec = job.spec();
   std::map<std::string, double> planned;  // tasks, by zone
   const auto take = [&](Room* room, double fit) {
-    const double each = CoreSeconds(spec, *room->type, policy_.drain_s);
+    const double each = CoreSeconds(spec, *room->type, policy_.backlog_limit_s);
     room->core_seconds -= fit * each;
     planned[room->zone] += fit;
     count -= fit;
@@ -443,7 +446,7 @@
   for (Room& room : *rooms) {
     if (count < 1) return;
     if (!JobAllows(job, *room.type, room.zone, room.spot)) continue;
-    const double each = CoreSeconds(spec, *room.type, policy_.drain_s);
+    const double each = CoreSeconds(spec, *room.type, policy_.backlog_limit_s);
     const double fit = std::min({count, std::floor(room.core_seconds / each),
                                  ZoneLeft(job, room.zone, planned)});
     if (fit >= 1) take(&room, fit);
@@ -459,9 +462,9 @@
     const Offer* best = Cheapest(job, count, /*dear=*/spec.IsService(), offers,
                                  *wanted, full_zones);
     if (!best) return;
-    const double each = CoreSeconds(spec, *best->type, policy_.drain_s);
+    const double each = CoreSeconds(spec, *best->type, policy_.backlog_limit_s);
     Room room{best->type, best->zone, best->spot, best->type->cpus,
-              best->type->cpus * policy_.drain_s};
+              best->type->cpus * policy_.backlog_limit_s};
     const double fit =
         std::min({count, std::max(1.0, std::floor(room.core_seconds / each)),
                   ZoneLeft(job, room.zone, planned)});
@@ -472,7 +475,7 @@
 }
 
 void Autoscaler::PlanCheap(std::map<std::string, int>* wanted) {
-  std::vector<Room> rooms = Rooms(policy_.drain_s);
+  std::vector<Room> rooms = Rooms(policy_.backlog_limit_s);
   std::map<std::string, double> team_left = TeamLeft();
   for (Job* job : jobs_->queue()) {
     const double count = MayStartTask(*job, &team_left);
@@ -485,9 +488,9 @@
   double cores = 0, work = 0, boot_s = 0;
   for (const auto& [name, type] : types_)
     boot_s = std::max(boot_s, type.boot_s);
-  for (const Room& room : Rooms(policy_.dear_drain_s)) {
+  for (const Room& room : Rooms(policy_.premium_backlog_limit_s)) {
     cores += room.cpus;
-    work += room.cpus * policy_.dear_drain_s - room.core_seconds;
+    work += room.cpus * policy_.premium_backlog_limit_s - room.core_seconds;
   }
   for (const Offer& offer : offers)
     if (auto it = wanted->find(offer.Key()); it != wanted->end())
@@ -502,8 +505,8 @@
     // the work, is no reason to pay more: the job has as long as one without an
     // aim.
     double slack = jobs_->Slack(*job, settings_->objectives, context_->wall,
-                                policy_.dear_drain_s);
-    if (slack < kDearBoots * boot_s) slack = policy_.dear_drain_s;
+                                policy_.premium_backlog_limit_s);
+    if (slack < kDearBoots * boot_s) slack = policy_.premium_backlog_limit_s;
     const double count = job->progress.pending.size();
     const double each = std::min(jobs_->Estimate(spec), slack) * spec.cpus;
     double limit = 0;
@@ -811,7 +814,7 @@
   }
   // Until the first machines are up there is no load to be seen.
   if (!usable.empty())
-    load_ += (used - load_) * std::min(1.0, 1 / policy_.base_memory_s);
+    load_ += (used - load_) * std::min(1.0, 1 / policy_.baseline_smoothing_s);
   base_target_ = std::min(base_most_, load_);
   std::stable_sort(usable.begin(), usable.end(),
                    [](const Machine* a, const Machine* b) {
@@ -842,8 +845,8 @@
   std::map<std::string, double> team_left = TeamLeft();
   for (const Job* job : jobs_->queue())
     demand += MayStartTask(*job, &team_left) *
-              CoreSeconds(job->spec(), *up[0]->type, policy_.drain_s) /
-              policy_.drain_s;
+              CoreSeconds(job->spec(), *up[0]->type, policy_.backlog_limit_s) /
+              policy_.backlog_limit_s;
   // The dearest first; among equals those that are emptying already, then those
   // that will be empty soonest.
   const auto rank = [](const Machine* m) {
--- a/src/core/balance/bounded_placement.cc
+++ b/src/core/balance/bounded_placement.cc
@@ -9,7 +9,8 @@
   if (!bounds_.Allow(job, machine)) return true;
   // Fetches share the machine's rate: one more would hold up all of them.
   return !machine.HasImage(job.spec().image) &&
-         machine.fetching.size() >= static_cast<size_t>(spread_.most_fetches);
+         machine.fetching.size() >=
+             static_cast<size_t>(spread_.max_concurrent_fetches);
 }
 
 uint64_t BoundedPlacement::TieBreak(const Job& job,
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -57,15 +57,16 @@
 // begin once the fleet has been uneven for a while, go on until it is well
 // within the margin, and then rest.
 bool Rebalancer::MayMove() {
-  if (imbalance_ < spread_.begin_imbalance) uneven_since_ = 0;
-  if (imbalance_ >= spread_.begin_imbalance && uneven_since_ == 0)
+  if (imbalance_ < spread_.start_imbalance) uneven_since_ = 0;
+  if (imbalance_ >= spread_.start_imbalance && uneven_since_ == 0)
     uneven_since_ = context_->now;
-  if (evening_out_ && imbalance_ < spread_.end_imbalance) {
+  if (evening_out_ && imbalance_ < spread_.stop_imbalance) {
     evening_out_ = false;
-    paused_until_ = context_->now + spread_.pause_s;
+    paused_until_ = context_->now + spread_.cooldown_s;
   }
   const bool lasting =
-      uneven_since_ > 0 && context_->now - uneven_since_ >= spread_.lasting_s;
+      uneven_since_ > 0 &&
+      context_->now - uneven_since_ >= spread_.min_imbalance_duration_s;
   if (lasting && context_->now >= paused_until_) evening_out_ = true;
   return evening_out_;
 }
@@ -138,7 +139,7 @@
   if (jobs_->Estimate(spec) - ran_s < kMoveLeastLeftS) return false;
   const auto moved = moved_at_.find(key);
   return moved == moved_at_.end() ||
-         context_->now - moved->second >= spread_.pause_s;
+         context_->now - moved->second >= spread_.cooldown_s;
 }
 
 bool Rebalancer::CanTake(const Job& job, const Machine& target,
@@ -149,7 +150,8 @@
       !bounds_.Allow(job, target))
     return false;
   return target.HasImage(job.spec().image) ||
-         target.fetching.size() < static_cast<size_t>(spread_.most_fetches);
+         target.fetching.size() <
+             static_cast<size_t>(spread_.max_concurrent_fetches);
 }
 
 // The best of a few machines that hold the image, or else of a few others: the
@@ -221,11 +223,11 @@
 void Rebalancer::GiveUpLate() {
   for (auto it = moves_.begin(); it != moves_.end();) {
     const auto move = it++;
-    if (context_->now - move->second.began_at > spread_.hold_place_s)
+    if (context_->now - move->second.began_at > spread_.reservation_timeout_s)
       GiveUp(move, MoveFailure::kTooLate);
   }
   for (auto it = moved_at_.begin(); it != moved_at_.end();) {
-    const bool old = context_->now - it->second >= spread_.pause_s;
+    const bool old = context_->now - it->second >= spread_.cooldown_s;
     it = old ? moved_at_.erase(it) : std::next(it);
   }
 }
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -13,7 +13,7 @@
       context_(incarnation),
       limits_(settings_),
       job_cache_(&context_, static_cast<double>(settings_.peers.size() + 1) /
-                                (settings_.state_rps * kWatchShare)),
+                                (settings_.state_requests_per_s * kWatchShare)),
       election_(&context_, &job_cache_, settings_.node,
                 settings_.worker_lease_s, settings_.cancel_deadline_s),
       job_api_(&context_, &job_cache_, &limits_, &settings_),
--- a/src/core/coordination/state_limits.cc
+++ b/src/core/coordination/state_limits.cc
@@ -7,9 +7,9 @@
 namespace sorrelwood {
 
 StateLimitTracker::StateLimitTracker(const ClusterSettings& settings)
-    : now_{settings.state_write_rps, settings.state_value_kb,
-           settings.state_txn_ops},
-      next_(settings.state_next.value_or(now_)) {}
+    : now_{settings.state_mutations_per_s, settings.state_max_value_kib,
+           settings.state_max_mutations_per_transaction},
+      next_(settings.next_state_limits.value_or(now_)) {}
 
 void StateLimitTracker::Learn(const StateResult& result) {
   if (result.refusal == StateRefusal::kTooLarge) values_fell_ = true;
@@ -17,7 +17,8 @@
 }
 
 int StateLimitTracker::max_mutations() const {
-  return std::min(now_.txn_ops, next_.txn_ops);
+  return std::min(now_.max_mutations_per_transaction,
+                  next_.max_mutations_per_transaction);
 }
 
 size_t StateLimitTracker::max_preconditions() const {
@@ -25,14 +26,15 @@
 }
 
 size_t StateLimitTracker::value_bytes() const {
-  const double kib =
-      values_fell_ ? std::min(now_.value_kb, next_.value_kb) : now_.value_kb;
+  const double kib = values_fell_
+                         ? std::min(now_.max_value_kib, next_.max_value_kib)
+                         : now_.max_value_kib;
   return static_cast<size_t>(kib * 1024);
 }
 
 double StateLimitTracker::changes_per_s() const {
-  return rate_fell_ ? std::min(now_.write_rps, next_.write_rps)
-                    : now_.write_rps;
+  return rate_fell_ ? std::min(now_.mutations_per_s, next_.mutations_per_s)
+                    : now_.mutations_per_s;
 }
 
 }  // namespace sorrelwood
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -1,5 +1,6 @@
-// What the platform's settings file and the operators' own settings say, in the
-// core's terms.
+// The settings of the platform (ClusterSettings) and of the operators
+// (PolicySettings) in the core's terms. src/config reads and checks the files
+// and maps the names of their fields to these.
 #pragma once
 
 #include <limits>
@@ -11,76 +12,94 @@
 
 namespace sorrelwood {
 
-// A team without a limit may use all that is unused.
+// The limit of a team that may use all capacity that others leave unused.
 inline constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
 // Quotas of a team: what it is guaranteed and what it may use at most.
 struct Team {
   std::string name;
-  double cpus = 0, cpus_max = 0, gpus = 0, gpus_max = 0;
+  double cpus = 0;      // guaranteed cores
+  double cpus_max = 0;  // most cores, or kNoLimit
+  double gpus = 0;      // guaranteed devices
+  double gpus_max = 0;  // most devices, or kNoLimit
 };
 
 // A service-level objective of the operators.
 struct Objective {
-  std::string kind;  // "deadline", "wait", "finished", "guarantee", ...
-  std::string job_class;
+  std::string kind;       // "deadline", "wait", "finished", "guarantee", ...
+  std::string job_class;  // jobs it applies to; empty: all
   double within_s = 0;
-  double times = 1;  // of a deadline
+  double deadline_factor = 1;  // multiple of a job's own deadline
 };
 
-// Another controller.
+// Another controller of the cluster.
 struct Peer {
-  std::string name, zone, address;
+  std::string name;
+  std::string zone;
+  std::string address;  // "IP:port"
 };
 
-// What the state service takes at most.
+// What the state service accepts at most.
 struct StateLimits {
-  double write_rps = 60;  // changes a second
-  double value_kb = 8;    // KiB of one value
-  int txn_ops = 16;       // changes in one transaction
+  double mutations_per_s = 60;  // of all controllers together
+  double max_value_kib = 8;     // size of one value
+  int max_mutations_per_transaction = 16;
 };
 
 // The platform's settings file.
 struct ClusterSettings {
-  std::string node;
-  std::string zone;
-  std::string listen;       // for users, workers and probes
-  std::string peer_listen;  // for the other controllers
+  std::string node;                 // this controller's name
+  std::string zone;                 // this controller's zone
+  std::string listen_address;       // for users, workers and probes
+  std::string peer_listen_address;  // for the other controllers
   std::vector<Peer> peers;
-  std::string cloud_address, state_address;
+  std::string cloud_address;
+  std::string state_address;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double heartbeat_interval_s = 2;
   double worker_lease_s = 14;     // a worker kills its tasks when it runs out
   double cancel_deadline_s = 40;  // a cancelled job's tasks are gone by then
-  double state_rps = 150, state_write_rps = 60;
-  double state_value_kb = 8;
-  int state_txn_ops = 16;
-  std::optional<StateLimits> state_next;  // may come into force at any time
-  double cloud_rps = 4;
-  double list_lag_s = 5;  // age of the cloud's inventory
-  int sockets = 1000;
-  double memory_mib = 0;  // 0: not said
-  // What could not be read and can be done without, each with its reason.
-  std::vector<std::string> ignored;
+  double state_requests_per_s = 150;
+  double state_mutations_per_s = 60;
+  double state_max_value_kib = 8;
+  int state_max_mutations_per_transaction = 16;
+  // Announced limits, which may come into force at any time.
+  std::optional<StateLimits> next_state_limits;
+  double cloud_requests_per_s = 4;
+  double cloud_list_lag_s = 5;  // age of the cloud's inventory
+  int socket_limit = 1000;      // open sockets of this process
+  double memory_limit_mib = 0;  // of this process; 0: unlimited
+  // Objectives that could not be read, each with its field and reason. They
+  // are left out, since the cluster can be served without them.
+  std::vector<std::string> ignored_objectives;
 };
 
-// The operators' own settings (operator.proto), checked.
+// The operators' own settings (src/config/operator.proto), checked.
 struct PolicySettings {
-  double speculation_s = 900;   // speculation limit, `t` in the paper
-  double wait_limit_s = 10800;  // wait limit, `b` in the paper
-  double hold_s = 10;           // idle time before a rented machine is released
-  double drain_s = 30;          // backlog that may wait for running capacity
-  double dear_drain_s =
-      300;                  // the same before premium machines are provisioned
-  double base_share = 0.1;  // baseline at the start, of all guarantees
-  double base_memory_s = 30;  // how slowly the baseline follows the load
+  // A task that has run this long on a rented machine is killed and requeued
+  // for the baseline (`t` in the paper).
+  double speculation_limit_s = 900;
+  // The longest wait for the baseline that a job is asked to accept (`b`).
+  double wait_limit_s = 10800;
+  // Idle time before a rented machine is released.
+  double idle_release_delay_s = 10;
+  // Queued work that running machines get through within this time is not
+  // rented for.
+  double backlog_limit_s = 30;
+  // The same before machines far dearer than the cheapest are rented.
+  double premium_backlog_limit_s = 300;
+  // Size of the baseline at the start, as a share of all guaranteed cores.
+  double baseline_initial_share = 0.1;
+  // Time constant with which the baseline follows the load.
+  double baseline_smoothing_s = 30;
   bool use_spot = true;
-  double refit_s = 180;  // interval of fitting the wait predictor
-  int tree_depth = 4;
-  int tree_leaf = 8;
+  // Interval of fitting the wait predictor's trees.
+  double predictor_fit_interval_s = 180;
+  int tree_depth = 4;             // longest path of a tree
+  int tree_min_leaf_samples = 8;  // fewest samples that a leaf rests on
   int tree_count = 5;
-  int tree_samples = 2000;
+  int tree_max_samples = 2000;  // newest samples that are kept
   SpreadSettings spread;
 };
 
--- a/src/core/scheduling/wait_predictor.cc
+++ b/src/core/scheduling/wait_predictor.cc
@@ -17,12 +17,13 @@
       ++(was_short ? false_long_ : true_long_);
   }
   samples_.push_back({features, wait_s});
-  while (samples_.size() > static_cast<size_t>(policy_.tree_samples))
+  while (samples_.size() > static_cast<size_t>(policy_.tree_max_samples))
     samples_.pop_front();
 }
 
 void WaitPredictor::Fit() {
-  if (samples_.size() < 2 * static_cast<size_t>(policy_.tree_leaf)) return;
+  if (samples_.size() < 2 * static_cast<size_t>(policy_.tree_min_leaf_samples))
+    return;
   std::vector<Tree> trees;
   for (int i = 0; i < policy_.tree_count; ++i) {
     std::vector<const Sample*> drawn;
@@ -44,7 +45,7 @@
   for (size_t i = begin; i < end; ++i) sum += samples[i]->wait_s;
   const double count = static_cast<double>(end - begin);
   (*tree)[static_cast<size_t>(self)].value = sum / count;
-  const size_t leaf = static_cast<size_t>(policy_.tree_leaf);
+  const size_t leaf = static_cast<size_t>(policy_.tree_min_leaf_samples);
   if (depth >= policy_.tree_depth || end - begin < 2 * leaf) return self;
 
   // The split that leaves the least squared error.
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -51,9 +51,10 @@
 }
 
 void WaitingPolicy::Tick() {
-  if (next_fit_ < 0) next_fit_ = context_->now + policy_.refit_s;
+  if (next_fit_ < 0)
+    next_fit_ = context_->now + policy_.predictor_fit_interval_s;
   if (context_->now >= next_fit_) {
-    next_fit_ = context_->now + policy_.refit_s;
+    next_fit_ = context_->now + policy_.predictor_fit_interval_s;
     predictor_.Fit();
   }
   for (Job* job : jobs_->queue()) {
@@ -76,7 +77,7 @@
     for (auto& [key, attempt] : machine->attempts) {
       if (!attempt.speculative || attempt.stop || attempt.running_since == 0 ||
           attempt.ran_before_s + context_->now - attempt.running_since <
-              policy_.speculation_s)
+              policy_.speculation_limit_s)
         continue;
       Job* job = jobs_->Find(key.job);
       if (!job || job->spec().IsService()) continue;
--- a/src/main.cc
+++ b/src/main.cc
@@ -79,7 +79,7 @@
   }
   if (!StartLog())
     spdlog::error("LOG_LEVEL must be error, info or debug: it is info now");
-  for (const std::string& ignored : settings.ignored)
+  for (const std::string& ignored : settings.ignored_objectives)
     spdlog::error("left out of the settings: {}", ignored);
   App app(settings, policy, NewIncarnation());
   return app.Run() ? 0 : 1;
--- a/src/server/app.cc
+++ b/src/server/app.cc
@@ -68,7 +68,7 @@
 
 bool App::Run() {
   Endpoint endpoint;
-  ParseEndpoint(settings_.listen, &endpoint);
+  ParseEndpoint(settings_.listen_address, &endpoint);
   ConnectionLimits limits;
   limits.total = MostConnections(settings_);
   const double total = static_cast<double>(limits.total);
@@ -90,17 +90,17 @@
       },
       [this](const HttpRequest& request) { return Handle(request); });
   listener_ = std::make_unique<PeerListener>(
-      settings_.peer_listen, [this](PeerStatus note) {
+      settings_.peer_listen_address, [this](PeerStatus note) {
         Post([note = std::move(note)](Controller& c, Controller::Time t) {
           return c.OnPeerStatus(t, note);
         });
       });
   if (!server_->Bind()) {
-    spdlog::error("can't listen on {}", settings_.listen);
+    spdlog::error("can't listen on {}", settings_.listen_address);
     return false;
   }
   if (!listener_->Bind()) {
-    spdlog::error("can't listen on {}", settings_.peer_listen);
+    spdlog::error("can't listen on {}", settings_.peer_listen_address);
     return false;
   }
   for (const Peer& peer : settings_.peers)
@@ -109,7 +109,7 @@
   controller_.set_debug(spdlog::should_log(spdlog::level::debug));
   StartThread("core", [this] { CoreLoop(); });
   spdlog::info("{} in {} serves on {}", settings_.node, settings_.zone,
-               settings_.listen);
+               settings_.listen_address);
   server_->Serve();
   return true;
 }
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -267,7 +267,7 @@
       << error;
   EXPECT_TRUE(policy.spread.moves);
   EXPECT_EQ(policy.spread.headroom, 0.5);
-  EXPECT_EQ(policy.spread.most_fetches, 2);
+  EXPECT_EQ(policy.spread.max_concurrent_fetches, 2);
 }
 
 TEST(SpreadSettings, NameTheFieldThatIsWrong) {
@@ -289,12 +289,12 @@
 
 TEST(Capacity, IsBoundedBySocketsAndMemory) {
   ClusterSettings settings;
-  settings.sockets = 7500;
-  settings.memory_mib = 600;
+  settings.socket_limit = 7500;
+  settings.memory_limit_mib = 600;
   EXPECT_GE(MostMachines(settings), 4000u);
   EXPECT_NE(DescribeCapacity(settings).find("bounded by sockets"),
             std::string::npos);
-  settings.memory_mib = 48;
+  settings.memory_limit_mib = 48;
   EXPECT_LT(MostMachines(settings), 4000u);
   EXPECT_NE(DescribeCapacity(settings).find("bounded by memory"),
             std::string::npos);
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -196,7 +196,7 @@
   ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
   EXPECT_EQ(settings.node, "perch-0");
   EXPECT_EQ(settings.peers.size(), 1u);
-  EXPECT_EQ(settings.state_txn_ops, 16);
+  EXPECT_EQ(settings.state_max_mutations_per_transaction, 16);
   ASSERT_EQ(settings.objectives.size(), 2u);
   EXPECT_EQ(settings.objectives[0].job_class, "fast");
 }
@@ -206,7 +206,7 @@
   ClusterSettings settings;
   std::string error;
   ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
-  EXPECT_FALSE(settings.state_next.has_value());
+  EXPECT_FALSE(settings.next_state_limits.has_value());
   const auto with = [&](const std::string& next) {
     std::string text = kSettings;
     const std::string mutations = "\"txn_ops\":16";
@@ -216,12 +216,12 @@
     return ParseClusterSettings(text, &settings, &error);
   };
   ASSERT_TRUE(with(R"({"write_rps":42.0,"value_kb":2.0,"txn_ops":5})"));
-  EXPECT_DOUBLE_EQ(settings.state_next->write_rps, 42);
-  EXPECT_DOUBLE_EQ(settings.state_next->value_kb, 2);
-  EXPECT_EQ(settings.state_next->txn_ops, 5);
+  EXPECT_DOUBLE_EQ(settings.next_state_limits->mutations_per_s, 42);
+  EXPECT_DOUBLE_EQ(settings.next_state_limits->max_value_kib, 2);
+  EXPECT_EQ(settings.next_state_limits->max_mutations_per_transaction, 5);
   ASSERT_TRUE(with(R"({"value_kb":2.0})"));
-  EXPECT_DOUBLE_EQ(settings.state_next->write_rps, 60);
-  EXPECT_EQ(settings.state_next->txn_ops, 16);
+  EXPECT_DOUBLE_EQ(settings.next_state_limits->mutations_per_s, 60);
+  EXPECT_EQ(settings.next_state_limits->max_mutations_per_transaction, 16);
   EXPECT_FALSE(with(R"({"txn_ops":1})"));
   EXPECT_EQ(error.find("cluster.state.next.txn_ops"), 0u) << error;
   EXPECT_FALSE(with("7"));
@@ -264,8 +264,9 @@
     EXPECT_EQ(settings.teams[i].cpus_max, kNoLimit);
   }
   EXPECT_EQ(settings.objectives.size(), 1u);
-  ASSERT_EQ(settings.ignored.size(), 1u);
-  EXPECT_EQ(settings.ignored[0].find("cluster.objectives[0].kind"), 0u);
+  ASSERT_EQ(settings.ignored_objectives.size(), 1u);
+  EXPECT_EQ(settings.ignored_objectives[0].find("cluster.objectives[0].kind"),
+            0u);
 }
 
 // Sockets bound the connections, memory the threads: with both of a large
@@ -275,13 +276,13 @@
   std::string error;
   ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
   EXPECT_EQ(MostConnections(settings), 900u);
-  settings.sockets = 3034;
-  settings.memory_mib = 188;
+  settings.socket_limit = 3034;
+  settings.memory_limit_mib = 188;
   // Half as many again as the deployment's thousand machines report here.
   EXPECT_GT(MostConnections(settings) * kWorkerConnections, 1500);
   EXPECT_EQ(MostThreads(settings), static_cast<size_t>(kMostThreads));
-  settings.sockets = 900;
-  settings.memory_mib = 56;
+  settings.socket_limit = 900;
+  settings.memory_limit_mib = 56;
   EXPECT_GT(MostThreads(settings),
             (kMaxWaitingPolls + kMaxWaitingChanges) / kUserThreadShare);
   std::string small = kSettings;
@@ -297,7 +298,7 @@
   EXPECT_TRUE(ParseOperatorSettings(
       "waiting_policy { speculation_s: 60 } fleet { hold_s: 5 }", &policy,
       &error));
-  EXPECT_DOUBLE_EQ(policy.speculation_s, 60);
+  EXPECT_DOUBLE_EQ(policy.speculation_limit_s, 60);
   EXPECT_FALSE(ParseOperatorSettings("fleet { hold: 5 }", &policy, &error));
   EXPECT_NE(error.find("hold"), std::string::npos) << error;
   EXPECT_FALSE(ParseOperatorSettings("fleet { hold_s: -5 }", &policy, &error));
--- a/tests/digest_measurement.cc
+++ b/tests/digest_measurement.cc
@@ -49,11 +49,11 @@
                               {80, Fault::kMachineSick, 0, 0}};
 
   SimulationOptions eager = operator_defaults;
-  eager.policy.speculation_s = 4;
+  eager.policy.speculation_limit_s = 4;
   eager.policy.wait_limit_s = 5;
-  eager.policy.hold_s = 2;
-  eager.policy.drain_s = 5;
-  eager.policy.refit_s = 20;
+  eager.policy.idle_release_delay_s = 2;
+  eager.policy.backlog_limit_s = 5;
+  eager.policy.predictor_fit_interval_s = 20;
 
   SimulationOptions on_demand_only = operator_defaults;
   on_demand_only.policy.use_spot = false;
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -902,7 +902,7 @@
       context.Deliver(result);
     }
   }
-  const double rate = settings.state_write_rps * kLeaderWriteShare;
+  const double rate = settings.state_mutations_per_s * kLeaderWriteShare;
   EXPECT_GT(2 * ends, 10 * rate * 0.4);
   EXPECT_GT(progress, 10 * rate * 0.4);
   EXPECT_LT(2 * ends + progress, 12 * rate);
--- a/tests/load_spread_test.cc
+++ b/tests/load_spread_test.cc
@@ -88,16 +88,16 @@
 
 PolicySettings Spread() {
   PolicySettings policy;
-  policy.hold_s = 5000;
-  policy.base_share = 0;
-  policy.speculation_s = 5000;
+  policy.idle_release_delay_s = 5000;
+  policy.baseline_initial_share = 0;
+  policy.speculation_limit_s = 5000;
   policy.spread.placement = true;
   policy.spread.moves = true;
-  policy.spread.begin_imbalance = 0.05;
-  policy.spread.end_imbalance = 0.02;
-  policy.spread.lasting_s = 2;
-  policy.spread.pause_s = 20;
-  policy.spread.hold_place_s = 5;
+  policy.spread.start_imbalance = 0.05;
+  policy.spread.stop_imbalance = 0.02;
+  policy.spread.min_imbalance_duration_s = 2;
+  policy.spread.cooldown_s = 20;
+  policy.spread.reservation_timeout_s = 5;
   return policy;
 }
 
@@ -422,7 +422,7 @@
   PatientSpreadTest() : LoadSpreadTest(Patient()) {}
   static PolicySettings Patient() {
     PolicySettings policy = Spread();
-    policy.spread.lasting_s = 60;
+    policy.spread.min_imbalance_duration_s = 60;
     return policy;
   }
 };
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -42,8 +42,8 @@
 
   static PolicySettings Policy(double hold_s, double base_share) {
     PolicySettings policy;
-    policy.hold_s = hold_s;
-    policy.base_share = base_share;
+    policy.idle_release_delay_s = hold_s;
+    policy.baseline_initial_share = base_share;
     return policy;
   }
 
--- a/tests/simulation/scenarios.cc
+++ b/tests/simulation/scenarios.cc
@@ -15,9 +15,9 @@
   s.options.lose = noise;
   s.options.late = noise;
   s.options.repeat = noise;
-  s.options.policy.speculation_s = 15;
+  s.options.policy.speculation_limit_s = 15;
   s.options.policy.wait_limit_s = 20;
-  s.options.policy.refit_s = 30;
+  s.options.policy.predictor_fit_interval_s = 30;
   return s;
 }
 
@@ -229,7 +229,7 @@
     if (name != "single_jobs" && name != "cancelled_at_the_end" &&
         name != "ends_far_apart" && name != "close_looks") {
       o.run_factor = 3;  // so that tasks outlast a takeover
-      o.policy.speculation_s = 900;
+      o.policy.speculation_limit_s = 900;
     }
     if (name == "gap" || name == "elected_before_the_outage") {
       o.run_factor = 4;
@@ -334,7 +334,8 @@
     o.services = 4;
     o.duration_s = 600;
     o.jobs = 16;
-    o.policy.speculation_s = 900;  // what services leave of a limit is little
+    // What services leave of a limit is little.
+    o.policy.speculation_limit_s = 900;
     if (name == "services_in_outages" || name == "services_lose_machines")
       o.run_factor = 2;
     if (name == "replicas_end") {
@@ -529,7 +530,7 @@
     if (name == "old_leader_and_cancels") {
       o.cancel_share = 0.6;
       o.run_factor = 4;
-      o.policy.speculation_s = 900;
+      o.policy.speculation_limit_s = 900;
     }
     if (name == "silent_for_long" || name == "cut_in_part" ||
         name == "poll_storm" || name == "on_no_list")
@@ -546,7 +547,7 @@
       o.jobs = 100;
       o.run_factor = 1.7;
       o.duration_s = 500;
-      o.policy.speculation_s = 900;
+      o.policy.speculation_limit_s = 900;
     }
     if (name == "old_answers")
       for (int i = 0; i < 20; ++i)
@@ -562,11 +563,11 @@
 SimulationOptions WithSpread(SimulationOptions options) {
   SpreadSettings& spread = options.policy.spread;
   spread.placement = spread.moves = true;
-  spread.begin_imbalance = 0.04;
-  spread.end_imbalance = 0.02;
-  spread.lasting_s = 2;
-  spread.pause_s = 10;
-  options.policy.speculation_s = 900;
+  spread.start_imbalance = 0.04;
+  spread.stop_imbalance = 0.02;
+  spread.min_imbalance_duration_s = 2;
+  spread.cooldown_s = 10;
+  options.policy.speculation_limit_s = 900;
   options.run_factor = std::max(options.run_factor, 2.5);
   options.checkpoint_share = 0.9;
   options.burst_jobs = 4;
--- a/tests/simulation/simulated_cluster.cc
+++ b/tests/simulation/simulated_cluster.cc
@@ -91,9 +91,9 @@
   settings_.heartbeat_interval_s = 1.5;
   settings_.worker_lease_s = 14;
   settings_.cancel_deadline_s = 39;
-  settings_.state_txn_ops = 12;
-  settings_.cloud_rps = 8;
-  settings_.list_lag_s = 3;
+  settings_.state_max_mutations_per_transaction = 12;
+  settings_.cloud_requests_per_s = 8;
+  settings_.cloud_list_lag_s = 3;
   types_ = {{"small", 4, 0, 16, 70, 0.4, 0.16, 0.06, 8, {"a", "b"}},
             {"large", 16, 0, 128, 35, 0.3, 0.76, 0.28, 8, {"a", "b"}}};
   for (const char* zone : {"a", "b"}) {
@@ -193,7 +193,7 @@
   if (options_.burst_jobs > 0) AddBurst();
   if (options_.roll_at_s > 0) Roll();
   if (options_.limits_fall_at_s > 0) {
-    settings_.state_next = options_.limits_after;
+    settings_.next_state_limits = options_.limits_after;
     troubles_over_ = options_.limits_fall_at_s;
   }
   for (const SimulationOptions::Fault& fault : options_.faults) {
@@ -441,7 +441,7 @@
   last_moves_ = moves;
   imbalance_ = moves.imbalance;
   imbalance_at_[static_cast<int>(now_)] = imbalance_;
-  if (imbalance_ > options_.policy.spread.end_imbalance) uneven_until_ = now_;
+  if (imbalance_ > options_.policy.spread.stop_imbalance) uneven_until_ = now_;
 }
 
 // One node after the other is killed and comes back new.
@@ -474,9 +474,9 @@
   settings_.heartbeat_interval_s = 4;
   settings_.worker_lease_s = 22;
   settings_.cancel_deadline_s = 47;
-  settings_.state_rps = 600;
-  settings_.state_write_rps = 250;
-  settings_.cloud_rps = 15;
+  settings_.state_requests_per_s = 600;
+  settings_.state_mutations_per_s = 250;
+  settings_.cloud_requests_per_s = 15;
   const double scale = options_.fleet_scale;
   settings_.teams = {{"blue", 2500 * scale, 5000 * scale, 0, 0},
                      {"green", 3000 * scale, 8000 * scale, 0, 0}};
@@ -536,7 +536,7 @@
   ClusterSettings settings = settings_;
   settings.node = "node-" + std::to_string(index);
   settings.zone = node.zone;
-  if (node.old_version) settings.state_next.reset();
+  if (node.old_version) settings.next_state_limits.reset();
   ++node.life;
   node.controller =
       std::make_unique<Controller>(settings, options_.policy, rng_());
@@ -936,12 +936,13 @@
       options_.limits_fall_at_s > 0 && now_ >= options_.limits_fall_at_s;
   const StateLimits limits =
       fallen ? options_.limits_after
-             : StateLimits{settings_.state_write_rps, settings_.state_value_kb,
-                           settings_.state_txn_ops};
-  const auto most = static_cast<size_t>(limits.txn_ops);
+             : StateLimits{settings_.state_mutations_per_s,
+                           settings_.state_max_value_kib,
+                           settings_.state_max_mutations_per_transaction};
+  const auto most = static_cast<size_t>(limits.max_mutations_per_transaction);
   bool large = false;
   for (const Mutation& op : request.mutations) {
-    if (static_cast<double>(op.value.size()) <= limits.value_kb * 1024)
+    if (static_cast<double>(op.value.size()) <= limits.max_value_kib * 1024)
       continue;
     large = true;
     if (++too_large_[op.key + op.value] == 8)
@@ -957,9 +958,9 @@
   }
   if (!options_.rate_limits || request.mutations.empty())
     return StateRefusal::kNone;
-  change_tokens_ =
-      std::min(limits.write_rps,
-               change_tokens_ + (now_ - change_tokens_at_) * limits.write_rps);
+  change_tokens_ = std::min(
+      limits.mutations_per_s,
+      change_tokens_ + (now_ - change_tokens_at_) * limits.mutations_per_s);
   change_tokens_at_ = now_;
   change_tokens_ -= static_cast<double>(request.mutations.size());
   if (change_tokens_ >= 0) return StateRefusal::kNone;
@@ -1146,7 +1147,7 @@
     worker->zone = rent.zone;
     worker->spot = rent.spot;
     worker->rented_at = now_;
-    worker->listed_from = now_ + settings_.list_lag_s;
+    worker->listed_from = now_ + settings_.cloud_list_lag_s;
     result.machines.push_back(name);
     workers_[name] = std::move(worker);
     double boot = 8 * (0.6 + 0.9 * Random());
@@ -1197,7 +1198,7 @@
   }
   // It lags: what is answered is the list of a few seconds ago.
   lists_.emplace_back(now_, result.listed);
-  const double as_of = now_ - settings_.list_lag_s * (1 + Random());
+  const double as_of = now_ - settings_.cloud_list_lag_s * (1 + Random());
   for (auto it = lists_.rbegin(); it != lists_.rend(); ++it) {
     result.listed = it->second;
     if (it->first <= as_of) break;
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -201,7 +201,7 @@
   options.submit_until_s = 40;
   options.duration_s = 420;
   options.check_every = 50000;
-  options.policy.speculation_s = 900;
+  options.policy.speculation_limit_s = 900;
   options.faults = {{70, Fault::kCrashLeader, 0, 3},
                     {90, Fault::kZoneCut, 15, 0},
                     {120, Fault::kCrashLeader, 0, 0.3}};
--- a/tests/spread_measurement.cc
+++ b/tests/spread_measurement.cc
@@ -23,7 +23,7 @@
   options.submit_until_s = 150;
   options.duration_s = 480;
   options.check_every = 200;
-  options.policy.base_share = 0.2;
+  options.policy.baseline_initial_share = 0.2;
   if (burst) {
     options.burst_jobs = 24;
     options.burst_tasks = 50;
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -18,7 +18,7 @@
 
 ClusterSettings FallingLimits(double value_kb, int txn_ops) {
   ClusterSettings settings;
-  settings.state_next = StateLimits{42, value_kb, txn_ops};
+  settings.next_state_limits = StateLimits{42, value_kb, txn_ops};
   return settings;
 }
 
