--- a/src/peer/mesh.cc
+++ b/src/peer/peer_connection.cc
@@ -1,8 +1,6 @@
-#include "peer/mesh.h"
+#include "peer/peer_connection.h"
 
 #include <arpa/inet.h>
-#include <capnp/message.h>
-#include <capnp/serialize.h>
 #include <fcntl.h>
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -11,65 +9,73 @@
 #include <unistd.h>
 
 #include <cerrno>
+#include <chrono>
 #include <cstring>
 #include <thread>
 
 #include "base/constants.h"
 #include "concurrency/threads.h"
 #include "http/endpoint.h"
-#include "mesh.capnp.h"
+#include "peer/peer_status_codec.h"
 
 namespace sorrelwood {
 namespace {
 
-// A note with counts of a few thousand jobs stays far below this.
-constexpr uint32_t kMaxNoteBytes = 1 << 20;
+// A message with counts of a few thousand jobs stays far below this.
+constexpr uint32_t kMaxMessageBytes = 1 << 20;
 constexpr int kSendTimeoutMs = 1500;
 // A peer that says nothing for this long has gone (it sends every second).
 constexpr int kReceiveTimeoutMs = 15000;
+// Before the next try when a connection can't be accepted.
+constexpr std::chrono::milliseconds kAcceptRetryPause{100};
 
+// False if `text` is not an IPv4 address and a port.
 bool SetAddress(const std::string& text, sockaddr_in* address) {
   Endpoint endpoint;
   if (!ParseEndpoint(text, &endpoint)) return false;
-  memset(address, 0, sizeof(*address));
+  std::memset(address, 0, sizeof(*address));
   address->sin_family = AF_INET;
   address->sin_port = htons(static_cast<uint16_t>(endpoint.port));
   return inet_pton(AF_INET, endpoint.host.c_str(), &address->sin_addr) == 1;
 }
 
+// False if none of `events` has come within the time.
 bool WaitFor(int socket, int16_t events, int timeout_ms) {
-  pollfd fd{socket, events, 0};
+  pollfd waiting{socket, events, 0};
   int ready;
   do {
-    ready = poll(&fd, 1, timeout_ms);
+    ready = poll(&waiting, 1, timeout_ms);
   } while (ready < 0 && errno == EINTR);
   return ready > 0;
 }
 
+// False if the peer closes the connection or is silent for too long.
 bool ReadAll(int socket, char* out, size_t size) {
   while (size > 0) {
     if (!WaitFor(socket, POLLIN, kReceiveTimeoutMs)) return false;
-    const ssize_t n = recv(socket, out, size, 0);
-    if (n < 0 && errno == EINTR) continue;
-    if (n <= 0) return false;
-    out += n;
-    size -= static_cast<size_t>(n);
+    const ssize_t received = recv(socket, out, size, 0);
+    if (received < 0 && errno == EINTR) continue;
+    if (received <= 0) return false;
+    out += received;
+    size -= static_cast<size_t>(received);
   }
   return true;
 }
 
+// False if the connection is broken or takes nothing for too long.
 bool WriteAll(int socket, const char* data, size_t size) {
   while (size > 0) {
     if (!WaitFor(socket, POLLOUT, kSendTimeoutMs)) return false;
-    const ssize_t n = send(socket, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (n < 0 && (errno == EINTR || errno == EAGAIN)) continue;
-    if (n <= 0) return false;
-    data += n;
-    size -= static_cast<size_t>(n);
+    const ssize_t sent = send(socket, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent < 0 && (errno == EINTR || errno == EAGAIN)) continue;
+    if (sent <= 0) return false;
+    data += sent;
+    size -= static_cast<size_t>(sent);
   }
   return true;
 }
 
+// Returns a blocking socket, or -1 if the peer can't be reached in time.
 int Connect(const std::string& text) {
   sockaddr_in address;
   if (!SetAddress(text, &address)) return -1;
@@ -98,49 +104,6 @@
 
 }  // namespace
 
-std::string EncodePeerStatus(const PeerStatus& note) {
-  capnp::MallocMessageBuilder message;
-  auto root = message.initRoot<mesh::Note>();
-  root.setNode(note.node);
-  root.setIncarnation(note.incarnation);
-  root.setSequence(note.sequence);
-  root.setTerm(note.term);
-  root.setLeader(note.leader);
-  root.setServedAgoMs(note.served_ago_ms);
-  auto jobs = root.initJobs(static_cast<unsigned>(note.jobs.size()));
-  for (unsigned i = 0; i < note.jobs.size(); ++i) {
-    jobs[i].setJob(note.jobs[i].id);
-    jobs[i].setDone(note.jobs[i].done);
-    jobs[i].setRunning(note.jobs[i].running);
-  }
-  const auto words = capnp::messageToFlatArray(message);
-  const auto bytes = words.asBytes();
-  return std::string(reinterpret_cast<const char*>(bytes.begin()),
-                     bytes.size());
-}
-
-bool DecodePeerStatus(const std::string& bytes, PeerStatus* note) {
-  if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0) return false;
-  try {
-    std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));
-    memcpy(words.data(), bytes.data(), bytes.size());
-    capnp::FlatArrayMessageReader reader(
-        kj::arrayPtr(words.data(), words.size()));
-    auto root = reader.getRoot<mesh::Note>();
-    note->node = root.getNode();
-    note->incarnation = root.getIncarnation();
-    note->sequence = root.getSequence();
-    note->term = root.getTerm();
-    note->leader = root.getLeader();
-    note->served_ago_ms = root.getServedAgoMs();
-    for (auto job : root.getJobs())
-      note->jobs.push_back({job.getJob(), job.getDone(), job.getRunning()});
-    return true;
-  } catch (const kj::Exception&) {
-    return false;
-  }
-}
-
 bool PeerListener::Bind() {
   sockaddr_in address;
   if (!SetAddress(address_, &address)) return false;
@@ -162,11 +125,12 @@
     const int socket = accept4(socket_, nullptr, nullptr, SOCK_CLOEXEC);
     if (socket < 0) {
       if (errno == EBADF || errno == EINVAL) return;
-      std::this_thread::sleep_for(std::chrono::milliseconds(100));
+      std::this_thread::sleep_for(kAcceptRetryPause);
       continue;
     }
     // Without a thread for it the peer is told so, and tries again.
-    if (!StartThread("mesh", [this, socket] { Serve(socket); })) close(socket);
+    if (!StartThread("peer-receive", [this, socket] { Serve(socket); }))
+      close(socket);
   }
 }
 
@@ -175,20 +139,20 @@
     uint32_t size = 0;
     if (!ReadAll(socket, reinterpret_cast<char*>(&size), sizeof(size))) break;
     size = ntohl(size);
-    if (size == 0 || size > kMaxNoteBytes) break;
+    if (size == 0 || size > kMaxMessageBytes) break;
     std::string bytes(size, '\0');
     if (!ReadAll(socket, bytes.data(), size)) break;
-    PeerStatus note;
-    if (!DecodePeerStatus(bytes, &note)) break;
-    handler_(std::move(note));
+    ParseResult<PeerStatus> status = DecodePeerStatus(bytes);
+    if (!status) break;
+    handler_(std::move(*status));
   }
   close(socket);
 }
 
-void PeerSender::Post(const PeerStatus& note) {
-  std::string bytes = EncodePeerStatus(note);
+void PeerSender::Post(const PeerStatus& status) {
+  std::string bytes = EncodePeerStatus(status);
   std::lock_guard lock(mutex_);
-  waiting_ = std::move(bytes);
+  pending_ = std::move(bytes);
   ready_.notify_one();
 }
 
@@ -209,9 +173,9 @@
     std::string bytes;
     {
       std::unique_lock lock(mutex_);
-      ready_.wait(lock, [this] { return waiting_.has_value(); });
-      bytes = std::move(*waiting_);
-      waiting_.reset();
+      ready_.wait(lock, [this] { return pending_.has_value(); });
+      bytes = std::move(*pending_);
+      pending_.reset();
     }
     if (!Send(bytes)) Send(bytes);  // the connection may have been a dead one
   }
--- a/src/peer/mesh.capnp
+++ b/src/peer/peer_status.capnp
@@ -1,7 +1,11 @@
+# The message between controllers; PeerStatus in the code. Versions read each
+# other's messages: the file's id, the types, the fields and their numbers stay,
+# and only further fields may be added. tests/stored_forms_test.cc holds the
+# bytes.
 @0xb0d3f6a1c2947e58;
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("sorrelwood::mesh");
+$Cxx.namespace("sorrelwood::peer_schema");
 
 # What a controller tells the others about once a second.
 struct Note {
--- a/src/server/app.h
+++ b/src/server/app.h
@@ -13,7 +13,7 @@
 #include "concurrency/threads.h"
 #include "core/controller/controller.h"
 #include "http/server.h"
-#include "peer/mesh.h"
+#include "peer/peer_connection.h"
 #include "server/metrics.h"
 
 namespace sorrelwood {
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -7,7 +7,7 @@
 #include "core/coordination/completion_store.h"
 #include "core/jobs/job_table.h"
 #include "core/scheduling/wait_predictor.h"
-#include "peer/mesh.h"
+#include "peer/peer_status_codec.h"
 
 namespace sorrelwood {
 namespace {
@@ -305,20 +305,20 @@
   EXPECT_EQ(error.find("fleet.hold_s"), 0u) << error;
 }
 
-TEST(Mesh, NotesSurviveAndRubbishIsRefused) {
-  PeerStatus note, back;
-  note.node = "perch-1";
-  note.term = 7;
-  note.leader = true;
-  note.jobs = {{"job-1", 3, 4}, {"job-2", 0, 1}};
-  const std::string bytes = EncodePeerStatus(note);
-  ASSERT_TRUE(DecodePeerStatus(bytes, &back));
-  EXPECT_EQ(back.node, "perch-1");
-  EXPECT_EQ(back.jobs.size(), 2u);
-  EXPECT_EQ(back.jobs[0].running, 4u);
-  EXPECT_FALSE(DecodePeerStatus("", &back));
-  EXPECT_FALSE(DecodePeerStatus("not a note", &back));
-  EXPECT_FALSE(DecodePeerStatus(std::string(64, '\xff'), &back));
+TEST(PeerStatusCodec, RoundTripsAndRefusesMalformedMessages) {
+  PeerStatus status;
+  status.node = "perch-1";
+  status.term = 7;
+  status.leader = true;
+  status.jobs = {{"job-1", 3, 4}, {"job-2", 0, 1}};
+  const auto decoded = DecodePeerStatus(EncodePeerStatus(status));
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->node, "perch-1");
+  EXPECT_EQ(decoded->jobs.size(), 2u);
+  EXPECT_EQ(decoded->jobs[0].running, 4u);
+  EXPECT_FALSE(DecodePeerStatus(""));
+  EXPECT_FALSE(DecodePeerStatus("not a note"));
+  EXPECT_FALSE(DecodePeerStatus(std::string(64, '\xff')));
 }
 
 }  // namespace
--- a/tests/simulation/action_digest.cc
+++ b/tests/simulation/action_digest.cc
@@ -2,7 +2,7 @@
 
 #include <variant>
 
-#include "peer/mesh.h"
+#include "peer/peer_status_codec.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/state_service_codec.h"
 #include "protocol/stored_records_codec.h"
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "peer/mesh.h"
+#include "peer/peer_status_codec.h"
 #include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
@@ -77,11 +77,11 @@
   for (size_t i = 0; kNoteHex[i] != '\0'; i += 2)
     bytes +=
         static_cast<char>(std::stoi(std::string(kNoteHex + i, 2), nullptr, 16));
-  PeerStatus note;
-  ASSERT_TRUE(DecodePeerStatus(bytes, &note));
-  EXPECT_EQ(note.node, "perch-1");
-  EXPECT_EQ(note.term, 7u);
-  EXPECT_EQ(EncodePeerStatus(note), bytes);
+  const auto status = DecodePeerStatus(bytes);
+  ASSERT_TRUE(status);
+  EXPECT_EQ(status->node, "perch-1");
+  EXPECT_EQ(status->term, 7u);
+  EXPECT_EQ(EncodePeerStatus(*status), bytes);
 }
 
 }  // namespace
