--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -40,8 +40,8 @@
 // For that long it lets the others go first in an election by so much (s): two
 // or three of their tries.
 inline constexpr double kResignedElectionDelayS = 2.0;
-// The core is woken every kTickS: a gap of so long (s) between two inputs means
-// that the process stood still, and heard nobody meanwhile.
+// The core is woken every kTickIntervalS: a gap of so long (s) between two
+// inputs means that the process stood still, and heard nobody meanwhile.
 inline constexpr double kProcessPauseThresholdS = 1.0;
 // Margin by which report answers stop before the reach that a successor counts
 // on ends; covers a slow thread and the network.
@@ -115,12 +115,12 @@
 // than a burst of reports, less than a second's work on the least machine. A
 // larger fleet has larger bursts: one for so many workers that may be
 // connected, if that is more.
-inline constexpr size_t kMaxQueuedInputs = 150;
+inline constexpr size_t kMinInputQueueLimit = 150;
 inline constexpr size_t kWorkersPerQueuedInput = 8;
 // Final states kept in memory; older ones are read again when asked for.
 inline constexpr size_t kFinalStateCacheSize = 20000;
 inline constexpr uint32_t kMaxTasks = 100000;
-inline constexpr size_t kMaxBody = size_t{64} * 1024;
+inline constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
 inline constexpr size_t kMaxIdLength = 100;
 
 // --- Workers
@@ -306,65 +306,83 @@
 // How often the teams are described in the debug log (s).
 inline constexpr double kDebugEveryS = 5.0;
 
-// --- Threads
-// ---------------------------------------------------------------------- Stack
-// of a connection's thread (bytes): the library's buffers take 20 KiB.
-inline constexpr size_t kConnectionStack = size_t{192} * 1024;
+// --- Threads and connections
+// Stack of a thread that reads and answers requests (bytes): the library's
+// buffers take 20 KiB.
+inline constexpr size_t kConnectionThreadStackBytes = size_t{192} * 1024;
 // Stack of every other thread (bytes).
-inline constexpr size_t kThreadStack = size_t{256} * 1024;
-// Threads, each with a connection of its own. Enough that one slow answer does
-// not hold up the next request of its kind.
-inline constexpr int kLeaderLaneThreads = 3;
-inline constexpr int kUserLaneThreads = 3;
-inline constexpr int kPollLaneThreads = 2;
-inline constexpr int kCloudLaneThreads = 3;
-// Threads that show the token directly: one for so many workers that may be
+inline constexpr size_t kThreadStackBytes = size_t{256} * 1024;
+// Arenas of malloc: each one more costs memory that a small machine lacks.
+inline constexpr int kMallocArenas = 2;
+// Threads that send requests to the state service and to the cloud, each with
+// a connection of its own. Enough that one slow answer does not hold up the
+// next request of its class.
+inline constexpr int kLeaderStateThreads = 3;
+inline constexpr int kUserStateThreads = 3;
+inline constexpr int kPollStateThreads = 2;
+inline constexpr int kCloudChangeThreads = 3;
+// Threads that push commands to workers: one for so many workers that may be
 // connected, within these bounds. A zone that hangs leaves a third of the
 // machines silent, each taking the whole time-out; all of them are to have had
 // their turn within a lease or so.
-inline constexpr size_t kWorkersPerDirectThread = 30;
-inline constexpr size_t kLeastDirectThreads = 16;
-inline constexpr size_t kMostDirectThreads = 128;
+inline constexpr size_t kWorkersPerPushThread = 30;
+inline constexpr size_t kMinPushThreads = 16;
+inline constexpr size_t kMaxPushThreads = 128;
 // The core's clock: how often it is woken without an input (s).
-inline constexpr double kTickS = 0.04;
-// A connection's thread waits this long for the core (s): less than a worker's
-// 4 s and a user's 5 s.
-inline constexpr double kCoreAnswerS = 3.8;
-// Sockets kept for what this process itself opens: lanes, peers, their
-// notes.
-inline constexpr int kOwnSockets = 100;
-// Memory (MiB) that all but the server may take: 12 to 15 were seen on a
-// leader of 300 machines and 250 jobs. What a request in hand takes (KiB), its
-// thread's stack and the buffers: 40 were seen. And an open connection (KiB).
-inline constexpr double kCoreMemoryMib = 22;
-inline constexpr double kRequestKib = 56;
-inline constexpr double kConnectionKib = 2;
-// And one machine of the leader's, with some ten tasks on it (KiB): 3.0 were
-// measured in a simulated cluster of 4,500.
-inline constexpr double kMachineKib = 4;
+inline constexpr double kTickIntervalS = 0.04;
+// How often the core's statistics are published as metrics (s): several times
+// within the usual interval of scraping.
+inline constexpr double kMetricsIntervalS = 5.0;
+// A connection's thread waits this long for the core's answer (s): less than a
+// worker's 4 s and a user's 5 s.
+inline constexpr double kCoreAnswerTimeoutS = 3.8;
+// When a client that was not answered may try again (s): at once after a core
+// that was late, since another controller may answer; later where too many
+// inputs are queued, so that the queue can drain.
+inline constexpr double kBusyRetryAfterS = 1.0;
+inline constexpr double kOverloadRetryAfterS = 2.0;
+// Sockets kept for what this process itself opens: connections to the state
+// service, the cloud, workers and the other controllers.
+inline constexpr int kOutboundSockets = 100;
+// Memory of all but the connections (MiB): 12 to 15 were seen on a leader of
+// 300 machines and 250 jobs.
+inline constexpr double kBaseMemoryMib = 22;
+// Memory of a request in hand (KiB), its thread's stack and buffers: 40 were
+// seen.
+inline constexpr double kRequestMemoryKib = 56;
+// Memory of an open connection (KiB).
+inline constexpr double kConnectionMemoryKib = 2;
+// Memory of one of the leader's machines with some ten tasks on it (KiB): 3.0
+// were measured in a simulated cluster of 4,500.
+inline constexpr double kMachineMemoryKib = 4;
 // Threads that read and answer requests: more than may wait for the state
 // service at once, and far fewer than the 2,000 that a process may have.
-inline constexpr double kMostThreads = 320;
+inline constexpr double kMaxRequestThreads = 320;
 // The shares of workers and users of these threads. Workers are answered at
 // once; a tenth is left to probes and to those who have not asked yet.
 inline constexpr double kWorkerThreadShare = 0.15;
 inline constexpr double kUserThreadShare = 0.75;
-// Connections with news that one look at them tells of.
-inline constexpr int kPollEvents = 64;
 // The shares of workers and users of all connections. A tenth is left to probes
 // and to those who have not asked yet.
-inline constexpr double kWorkerConnections = 0.6;
-inline constexpr double kUserConnections = 0.3;
-// Below so many connections, or threads, a controller is of no use.
-inline constexpr size_t kLeastConnections = 40;
-inline constexpr size_t kLeastThreads = 16;
-inline constexpr double kIdleConnectionS = 75.0;
-inline constexpr double kReadTimeoutS = 5.0;
+inline constexpr double kWorkerConnectionShare = 0.6;
+inline constexpr double kUserConnectionShare = 0.3;
+// With fewer connections, or threads, a controller is of no use.
+inline constexpr size_t kMinConnections = 40;
+inline constexpr size_t kMinRequestThreads = 16;
+// Events that one call of epoll_wait takes: a burst of a large fleet needs a
+// few calls, and the buffer stays small.
+inline constexpr int kMaxPollEvents = 64;
+// How long a connection of a user or a probe may stay without a request (s).
+inline constexpr double kIdleConnectionTimeoutS = 75.0;
+// How often connections are looked at for this (s).
+inline constexpr double kIdleCheckIntervalS = 1.0;
+// All of a request must be read, and all of its answer written, within this
+// time (s).
+inline constexpr double kRequestReadTimeoutS = 5.0;
 // Connections that may wait to be accepted, and one more for so many workers
 // that may be connected: all of a large fleet come to a new leader within half
 // a second.
-inline constexpr int kListenBacklog = 256;
-inline constexpr int kWorkersPerBacklog = 4;
-inline constexpr int kMallocArenas = 2;
+inline constexpr int kMinListenBacklog = 256;
+inline constexpr int kWorkersPerBacklogEntry = 4;
 
 }  // namespace sorrelwood
--- a/src/concurrency/threads.h
+++ b/src/concurrency/threads.h
@@ -18,7 +18,7 @@
   auto* owned = new std::function<void()>(std::move(work));
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
-  pthread_attr_setstacksize(&attributes, kThreadStack);
+  pthread_attr_setstacksize(&attributes, kThreadStackBytes);
   pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
   pthread_t thread;
   const int error = pthread_create(
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -1,5 +1,3 @@
-#include "http/server.h"
-
 #include <arpa/inet.h>
 #include <httplib.h>
 #include <netdb.h>
@@ -24,6 +22,7 @@
 #include <unordered_map>
 
 #include "base/constants.h"
+#include "http/server.h"
 
 namespace sorrelwood {
 namespace {
@@ -53,7 +52,7 @@
   bool close = false;
   bool waiting = false;  // for its next request, in the list of its kind
   double idle_since = 0;
-  std::list<Connection*>::iterator place;
+  std::list<Connection *>::iterator place;
 };
 
 // Reads through a small buffer, since the library reads headers byte by byte.
@@ -63,7 +62,7 @@
  public:
   explicit BufferedStream(int socket) : socket_(socket) { Restart(); }
 
-  void Restart() { until_ = Now() + kReadTimeoutS; }
+  void Restart() { until_ = Now() + kRequestReadTimeoutS; }
   // False when the peer has closed it or there is nothing to read after all.
   bool Begin() {
     if (begin_ < end_) return true;
@@ -84,7 +83,7 @@
   bool is_writable() const override {
     return WaitFor(socket_, POLLOUT, until_ - Now());
   }
-  ssize_t read(char* out, size_t size) override {
+  ssize_t read(char *out, size_t size) override {
     if (begin_ == end_) {
       const ssize_t got = Receive(buffer_, sizeof(buffer_));
       if (got <= 0) return got;
@@ -96,14 +95,14 @@
     begin_ += count;
     return static_cast<ssize_t>(count);
   }
-  ssize_t write(const char* data, size_t size) override {
+  ssize_t write(const char *data, size_t size) override {
     // The library writes headers and body one after the other: they are
     // gathered and leave in one packet by Flush.
     pending_.append(data, size);
     return static_cast<ssize_t>(size);
   }
   bool Flush() {
-    until_ = Now() + kReadTimeoutS;
+    until_ = Now() + kRequestReadTimeoutS;
     size_t sent = 0;
     while (sent < pending_.size()) {
       const ssize_t n =
@@ -119,11 +118,11 @@
     pending_.clear();
     return true;
   }
-  void get_remote_ip_and_port(std::string& ip, int& port) const override {
+  void get_remote_ip_and_port(std::string &ip, int &port) const override {
     ip.clear();
     port = 0;
   }
-  void get_local_ip_and_port(std::string& ip, int& port) const override {
+  void get_local_ip_and_port(std::string &ip, int &port) const override {
     ip.clear();
     port = 0;
   }
@@ -131,7 +130,7 @@
   bool has_buffered() const { return begin_ < end_; }
 
  private:
-  ssize_t Receive(char* out, size_t size) {
+  ssize_t Receive(char *out, size_t size) {
     for (;;) {
       const ssize_t n = recv(socket_, out, size, MSG_DONTWAIT);
       if (n >= 0) return n;
@@ -149,7 +148,7 @@
 };
 
 // The connection whose request this thread has in hand.
-thread_local Connection* peer = nullptr;
+thread_local Connection *peer = nullptr;
 
 // The library's accepting thread calls `work` itself: all it does is to hand
 // the socket over.
@@ -159,7 +158,7 @@
   void shutdown() override {}
 };
 
-std::string ErrorBody(const char* message) {
+std::string ErrorBody(const char *message) {
   return std::string("{\"error\":\"") + message + "\"}";
 }
 
@@ -167,20 +166,20 @@
 
 class HttpServer::Impl : public httplib::Server {
  public:
-  Impl(const Endpoint& endpoint, const ConnectionLimits& limits,
+  Impl(const Endpoint &endpoint, const ConnectionLimits &limits,
        PeerClassifier classify, HttpHandler handler)
       : endpoint_(endpoint),
         limits_(limits),
         classify_(std::move(classify)),
         handler_(std::move(handler)) {
     new_task_queue = [] { return new AcceptingThread; };
-    set_payload_max_length(kMaxBody);
+    set_payload_max_length(kMaxBodyBytes);
     set_socket_options([](socket_t socket) {
       const int on = 1;
       setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     });
-    set_pre_routing_handler([](const httplib::Request& request,
-                               httplib::Response& response) {
+    set_pre_routing_handler([](const httplib::Request &request,
+                               httplib::Response &response) {
       if (request.method == "GET" || request.method == "POST")
         return HandlerResponse::Unhandled;
       response.status = 405;
@@ -188,24 +187,25 @@
       response.set_content(ErrorBody("method not allowed"), "application/json");
       return HandlerResponse::Handled;
     });
-    const auto handle = [this](const httplib::Request& request,
-                               httplib::Response& response) {
+    const auto handle = [this](const httplib::Request &request,
+                               httplib::Response &response) {
       Answer(request, response);
     };
     // The real path is kept in `target` (see Serve): the library matches paths
     // by a recursive regular expression, which a long one would overflow.
     Get("/", handle);
     Post("/", handle);
-    set_error_handler([](const httplib::Request&, httplib::Response& response) {
-      if (!response.body.empty()) return;
-      if (response.status == 413) {
-        response.status = 400;
-        response.set_content(ErrorBody("the body is over 64 KiB"),
-                             "application/json");
-      } else {
-        response.set_content(ErrorBody("bad request"), "application/json");
-      }
-    });
+    set_error_handler(
+        [](const httplib::Request &, httplib::Response &response) {
+          if (!response.body.empty()) return;
+          if (response.status == 413) {
+            response.status = 400;
+            response.set_content(ErrorBody("the body is over 64 KiB"),
+                                 "application/json");
+          } else {
+            response.set_content(ErrorBody("bad request"), "application/json");
+          }
+        });
   }
 
   bool Bind() {
@@ -219,23 +219,23 @@
       return false;
     }
     // The library listens with a backlog of 5; a second call lengthens it.
-    const int backlog =
-        kListenBacklog + static_cast<int>(limits_.workers) / kWorkersPerBacklog;
+    const int backlog = kMinListenBacklog + static_cast<int>(limits_.workers) /
+                                                kWorkersPerBacklogEntry;
     return ::listen(svr_sock_, backlog) == 0;
   }
 
   int port() const { return port_; }
 
   void Serve() {
-    if (!StartThread([](void* self) -> void* {
-          static_cast<Impl*>(self)->WatchIdle();
+    if (!StartThread([](void *self) -> void * {
+          static_cast<Impl *>(self)->WatchIdle();
           return nullptr;
         }))
       return;
     listen_after_bind();
     std::unique_lock lock(mutex_);
     ended_.wait(lock, [this] { return threads_ == 0; });
-    for (auto& [socket, connection] : open_) ::close(socket);
+    for (auto &[socket, connection] : open_) ::close(socket);
     open_.clear();
     ::close(poll_);
     if (wake_ >= 0) ::close(wake_);
@@ -246,7 +246,7 @@
     std::lock_guard lock(mutex_);
     stopping_ = true;
     ready_.notify_all();
-    for (auto& [socket, connection] : open_) ::shutdown(socket, SHUT_RDWR);
+    for (auto &[socket, connection] : open_) ::shutdown(socket, SHUT_RDWR);
     // Readable from the start: it wakes the thread that polls.
     wake_ = eventfd(1, EFD_CLOEXEC);
     epoll_event event{};
@@ -255,7 +255,7 @@
   }
 
  private:
-  void Answer(const httplib::Request& request, httplib::Response& response) {
+  void Answer(const httplib::Request &request, httplib::Response &response) {
     HttpRequest in;
     in.method = request.method;
     in.path = request.target.substr(0, request.target.find('?'));
@@ -289,7 +289,7 @@
       ::close(socket);
       return true;
     }
-    Connection& connection = open_[socket];
+    Connection &connection = open_[socket];
     connection.socket = socket;
     Idle(&connection, EPOLL_CTL_ADD);
     return true;
@@ -297,19 +297,19 @@
 
   static size_t Index(PeerKind kind) { return static_cast<size_t>(kind); }
 
-  double IdleS(const Connection& connection) const {
-    if (!connection.counted) return kReadTimeoutS;
+  double IdleS(const Connection &connection) const {
+    if (!connection.counted) return kRequestReadTimeoutS;
     return connection.kind == PeerKind::kWorker ? limits_.worker_idle_s
-                                                : kIdleConnectionS;
+                                                : kIdleConnectionTimeoutS;
   }
 
   // The list it waits in; within one all have the same time to do so.
-  std::list<Connection*>& Waiting(const Connection& connection) {
+  std::list<Connection *> &Waiting(const Connection &connection) {
     return connection.counted ? idle_[Index(connection.kind)] : unknown_;
   }
 
-  void Idle(Connection* connection, int operation) {
-    std::list<Connection*>& list = Waiting(*connection);
+  void Idle(Connection *connection, int operation) {
+    std::list<Connection *> &list = Waiting(*connection);
     connection->idle_since = Now();
     connection->waiting = true;
     connection->place = list.insert(list.end(), connection);
@@ -323,7 +323,7 @@
   }
 
   // It waits in no list, or has been taken out of it.
-  void Close(Connection* connection) {
+  void Close(Connection *connection) {
     if (connection->counted) --counts_[Index(connection->kind)];
     const int socket = connection->socket;
     open_.erase(socket);
@@ -333,11 +333,11 @@
 
   void CloseIdle() {
     const double now = Now();
-    for (std::list<Connection*>* list :
+    for (std::list<Connection *> *list :
          {&unknown_, &idle_[0], &idle_[1], &idle_[2]}) {
       while (!list->empty() &&
              now - list->front()->idle_since > IdleS(*list->front())) {
-        Connection* connection = list->front();
+        Connection *connection = list->front();
         list->pop_front();
         Close(connection);
       }
@@ -347,11 +347,12 @@
   // One thread polls all connections that wait for their next request, and
   // hands those that have one to the threads that read and answer.
   void WatchIdle() {
-    std::array<epoll_event, kPollEvents> events;
-    double next_close = Now() + kReadTimeoutS;
+    std::array<epoll_event, kMaxPollEvents> events;
+    double next_close = Now() + kRequestReadTimeoutS;
     for (;;) {
-      const int count = epoll_wait(poll_, events.data(), kPollEvents,
-                                   static_cast<int>(kReadTimeoutS * 1000));
+      const int count =
+          epoll_wait(poll_, events.data(), kMaxPollEvents,
+                     static_cast<int>(kRequestReadTimeoutS * 1000));
       std::lock_guard lock(mutex_);
       if (stopping_) break;
       for (int i = 0; i < count; ++i) {
@@ -359,7 +360,7 @@
         // is then looked at in vain, and one that is in hand is left alone.
         auto it = open_.find(events[static_cast<size_t>(i)].data.fd);
         if (it == open_.end() || !it->second.waiting) continue;
-        Connection* connection = &it->second;
+        Connection *connection = &it->second;
         connection->waiting = false;
         Waiting(*connection).erase(connection->place);
         queue_[Index(connection->kind)].push_back(connection);
@@ -378,28 +379,28 @@
   // are get to it; where there are none, nobody does, and they are closed.
   void Wake() {
     size_t queued = 0;
-    for (const auto& queue : queue_) queued += queue.size();
+    for (const auto &queue : queue_) queued += queue.size();
     // Also where more is queued than they can take: what fills the queue may be
     // of a kind whose share is in use, and this of another.
     if (idle_threads_ > 0) ready_.notify_one();
     if (queued <= idle_threads_) return;
-    if (threads_ <= limits_.threads && StartThread([](void* self) -> void* {
-          static_cast<Impl*>(self)->AnswerRequests();
+    if (threads_ <= limits_.threads && StartThread([](void *self) -> void * {
+          static_cast<Impl *>(self)->AnswerRequests();
           return nullptr;
         }))
       return;
     if (threads_ > 1) return;
-    for (auto& queue : queue_) {
-      for (Connection* connection : queue) Close(connection);
+    for (auto &queue : queue_) {
+      for (Connection *connection : queue) Close(connection);
       queue.clear();
     }
   }
 
   // The mutex is held, but for the first thread.
-  bool StartThread(void* (*run)(void*)) {
+  bool StartThread(void *(*run)(void *)) {
     pthread_attr_t attributes;
     pthread_attr_init(&attributes);
-    pthread_attr_setstacksize(&attributes, kConnectionStack);
+    pthread_attr_setstacksize(&attributes, kConnectionThreadStackBytes);
     pthread_attr_setdetachstate(&attributes, PTHREAD_CREATE_DETACHED);
     pthread_t thread;
     const bool started = pthread_create(&thread, &attributes, run, this) == 0;
@@ -423,12 +424,12 @@
         1L, std::lround(static_cast<double>(limits_.threads) * share)));
   }
 
-  Connection* Next() {
+  Connection *Next() {
     for (const PeerKind kind :
          {PeerKind::kOther, PeerKind::kWorker, PeerKind::kUser}) {
-      auto& queue = queue_[Index(kind)];
+      auto &queue = queue_[Index(kind)];
       if (queue.empty() || busy_[Index(kind)] >= Share(kind)) continue;
-      Connection* connection = queue.front();
+      Connection *connection = queue.front();
       queue.pop_front();
       ++busy_[Index(kind)];
       return connection;
@@ -439,7 +440,7 @@
   void AnswerRequests() {
     std::unique_lock lock(mutex_);
     while (!stopping_) {
-      Connection* connection = Next();
+      Connection *connection = Next();
       if (!connection) {
         ++idle_threads_;
         ready_.wait(lock);
@@ -459,7 +460,7 @@
   }
 
   // Answers what has been asked on the connection; whether it stays open.
-  bool ServeConnection(Connection* connection) {
+  bool ServeConnection(Connection *connection) {
     BufferedStream stream(connection->socket);
     if (!stream.Begin()) return stream.spurious();
     peer = connection;
@@ -467,7 +468,7 @@
     do {
       stream.Restart();
       const bool answered =
-          process_request(stream, false, closed, [](httplib::Request& request) {
+          process_request(stream, false, closed, [](httplib::Request &request) {
             if (request.target.empty()) request.target = request.path;
             request.path = "/";
           });
@@ -484,7 +485,7 @@
                         : kind == PeerKind::kUser ? limits_.users
                                                   : limits_.total;
     std::lock_guard lock(mutex_);
-    size_t& count = counts_[Index(kind)];
+    size_t &count = counts_[Index(kind)];
     if (count >= most && kind == PeerKind::kWorker) CloseStaleWorker();
     if (count >= most ||
         (kind != PeerKind::kOther && busy_[Index(kind)] >= Share(kind)))
@@ -503,9 +504,9 @@
   // reports: guards against connections to a zone that was cut off
   // shutting out its workers when they come back.
   void CloseStaleWorker() {
-    auto& workers = idle_[Index(PeerKind::kWorker)];
+    auto &workers = idle_[Index(PeerKind::kWorker)];
     if (workers.empty()) return;
-    Connection* connection = workers.front();
+    Connection *connection = workers.front();
     if (Now() - connection->idle_since < limits_.worker_stale_s) return;
     workers.pop_front();
     Close(connection);
@@ -524,15 +525,16 @@
   std::unordered_map<int, Connection> open_;  // by socket
   // Waiting for a request, the longest first: those who have not asked yet,
   // and the others by PeerKind.
-  std::list<Connection*> unknown_;
-  std::array<std::list<Connection*>, 3> idle_;
-  std::array<std::deque<Connection*>, 3> queue_;  // with a request, by PeerKind
+  std::list<Connection *> unknown_;
+  std::array<std::list<Connection *>, 3> idle_;
+  std::array<std::deque<Connection *>, 3>
+      queue_;                       // with a request, by PeerKind
   std::array<size_t, 3> busy_{};    // requests in hand, by PeerKind
   std::array<size_t, 3> counts_{};  // connections, by PeerKind
   size_t threads_ = 0, idle_threads_ = 0;
 };
 
-HttpServer::HttpServer(const Endpoint& endpoint, const ConnectionLimits& limits,
+HttpServer::HttpServer(const Endpoint &endpoint, const ConnectionLimits &limits,
                        PeerClassifier classify, HttpHandler handler)
     : impl_(std::make_unique<Impl>(endpoint, limits, std::move(classify),
                                    std::move(handler))) {}
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,3 +1,4 @@
+// The sorrelwood process: reads its options and settings and runs a controller.
 #include <malloc.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -8,17 +9,27 @@
 #include <iostream>
 #include <random>
 #include <string>
+#include <tl/expected.hpp>
 
 #include "base/constants.h"
-#include "config/settings.h"
+#include "config/cluster_settings.h"
+#include "config/operator_settings.h"
 #include "server/app.h"
 #include "version.h"
 
 namespace sorrelwood {
 namespace {
 
-// Settings that can't be used.
-constexpr int kBadSettings = 2;
+// The exit codes of the process.
+constexpr int kExitOk = 0;
+constexpr int kExitCannotListen = 1;  // can't listen on an address
+constexpr int kExitBadSettings = 2;   // options or settings can't be used
+
+struct Options {
+  std::string cluster_settings;   // path
+  std::string operator_settings;  // path; empty: the defaults
+  bool check_only = false;
+};
 
 // False when LOG_LEVEL names no level: then it is `info`.
 bool StartLog() {
@@ -38,51 +49,64 @@
   return true;
 }
 
+// Differs between processes of one node.
 uint64_t NewIncarnation() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32) | device();
 }
 
-int Main(int argc, char** argv) {
-  // Few arenas: each one more costs memory that a small machine lacks.
-  mallopt(M_ARENA_MAX, kMallocArenas);
-  signal(SIGPIPE, SIG_IGN);
-
+// Reads the command line; an exit code instead when the process is to end.
+tl::expected<Options, int> ParseOptions(int argc, char** argv) {
+  Options options;
   CLI::App cli("sorrelwood: a cluster scheduler for rented machines");
-  std::string config, operator_config;
-  bool check = false;
-  cli.add_option("--config", config, "settings file of the platform (JSON)")
+  cli.add_option("--config", options.cluster_settings,
+                 "settings file of the platform (JSON)")
       ->required();
-  cli.add_option("--operator-config", operator_config,
+  cli.add_option("--operator-config", options.operator_settings,
                  "the operators' own settings (protobuf text format)");
-  cli.add_flag("--check", check, "read the settings, say what is wrong, exit");
+  cli.add_flag("--check", options.check_only,
+               "read the settings, say what is wrong, exit");
   cli.set_version_flag("--version", std::string("sorrelwood ") + kVersion);
   try {
     cli.parse(argc, argv);
-  } catch (const CLI::ParseError& e) {
-    const int code = cli.exit(e);
-    return code == 0 ? 0 : kBadSettings;
+  } catch (const CLI::ParseError& error) {
+    const int code = cli.exit(error);
+    return tl::unexpected(code == 0 ? kExitOk : kExitBadSettings);
   }
+  return options;
+}
 
-  ClusterSettings settings;
-  PolicySettings policy;
-  std::string error;
-  if (!LoadClusterSettings(config, &settings, &error) ||
-      (!operator_config.empty() &&
-       !LoadOperatorSettings(operator_config, &policy, &error))) {
-    std::cerr << "sorrelwood: " << error << "\n";
-    return kBadSettings;
-  }
-  if (check) {
+SettingsResult<PolicySettings> LoadPolicy(const Options& options) {
+  if (options.operator_settings.empty()) return PolicySettings();
+  return LoadOperatorSettings(options.operator_settings);
+}
+
+int RejectSettings(const SettingsError& error) {
+  std::cerr << "sorrelwood: " << error.Message() << "\n";
+  return kExitBadSettings;
+}
+
+int Main(int argc, char** argv) {
+  mallopt(M_ARENA_MAX, kMallocArenas);
+  // A peer that closes its connection must not end the process.
+  signal(SIGPIPE, SIG_IGN);
+
+  const auto options = ParseOptions(argc, argv);
+  if (!options) return options.error();
+  const auto settings = LoadClusterSettings(options->cluster_settings);
+  if (!settings) return RejectSettings(settings.error());
+  const auto policy = LoadPolicy(*options);
+  if (!policy) return RejectSettings(policy.error());
+  if (options->check_only) {
     std::cout << "the settings are good\n";
-    return 0;
+    return kExitOk;
   }
   if (!StartLog())
     spdlog::error("LOG_LEVEL must be error, info or debug: it is info now");
-  for (const std::string& ignored : settings.ignored_objectives)
+  for (const std::string& ignored : settings->ignored_objectives)
     spdlog::error("left out of the settings: {}", ignored);
-  App app(settings, policy, NewIncarnation());
-  return app.Run() ? 0 : 1;
+  App app(*settings, *policy, NewIncarnation());
+  return app.Run() ? kExitOk : kExitCannotListen;
 }
 
 }  // namespace
--- a/src/peer/peer_connection.cc
+++ b/src/peer/peer_connection.cc
@@ -117,7 +117,7 @@
   socklen_t length = sizeof(address);
   getsockname(socket_, reinterpret_cast<sockaddr*>(&address), &length);
   port_ = ntohs(address.sin_port);
-  return listen(socket_, kListenBacklog) == 0;
+  return listen(socket_, kMinListenBacklog) == 0;
 }
 
 void PeerListener::Run() {
--- a/src/server/app.cc
+++ b/src/server/app.cc
@@ -9,7 +9,7 @@
 
 #include "base/constants.h"
 #include "cloud/cloud_client.h"
-#include "config/settings.h"
+#include "config/capacity.h"
 #include "protocol/client_codec.h"
 #include "protocol/field_names.h"
 #include "protocol/worker_codec.h"
@@ -63,20 +63,21 @@
          uint64_t incarnation)
     : settings_(settings),
       controller_(settings, policy, incarnation),
-      most_queued_inputs_(std::max(
-          kMaxQueuedInputs, MostWorkers(settings) / kWorkersPerQueuedInput)) {}
+      most_queued_inputs_(
+          std::max(kMinInputQueueLimit,
+                   MaxWorkerConnections(settings) / kWorkersPerQueuedInput)) {}
 
 bool App::Run() {
   Endpoint endpoint;
   ParseEndpoint(settings_.listen_address, &endpoint);
   ConnectionLimits limits;
-  limits.total = MostConnections(settings_);
+  limits.total = MaxConnections(settings_);
   const double total = static_cast<double>(limits.total);
-  limits.workers = MostWorkers(settings_);
-  limits.users = static_cast<size_t>(total * kUserConnections);
+  limits.workers = MaxWorkerConnections(settings_);
+  limits.users = static_cast<size_t>(total * kUserConnectionShare);
   limits.worker_idle_s = settings_.worker_lease_s;
   limits.worker_stale_s = kSilentHeartbeats * settings_.heartbeat_interval_s;
-  limits.threads = MostThreads(settings_);
+  limits.threads = MaxRequestThreads(settings_);
   spdlog::info(
       "up to {} connections: {} workers, {} users; {} requests at once",
       limits.total, limits.workers, limits.users, limits.threads);
@@ -146,7 +147,7 @@
     const Controller::Time time{SteadyNow(), WallNow()};
     if (input) Dispatch(input(controller_, time));
     if (time.steady >= next_tick) {
-      next_tick = time.steady + kTickS;
+      next_tick = time.steady + kTickIntervalS;
       Dispatch(controller_.Tick(time));
       healthy_ = controller_.Healthy();
     }
@@ -233,11 +234,11 @@
   state_lane("renewal", &renewal_lane_, kRenewTimeoutS);
   state_lane("watch", &watch_lane_, kWatchS + kWatchSlackS);
   state_lane("list", &list_lane_, kStateTimeoutS);
-  for (int i = 0; i < kLeaderLaneThreads; ++i)
+  for (int i = 0; i < kLeaderStateThreads; ++i)
     state_lane("writes", &leader_lane_, kStateTimeoutS);
-  for (int i = 0; i < kUserLaneThreads; ++i)
+  for (int i = 0; i < kUserStateThreads; ++i)
     state_lane("users", &user_lane_, kStateTimeoutS);
-  for (int i = 0; i < kPollLaneThreads; ++i)
+  for (int i = 0; i < kPollStateThreads; ++i)
     state_lane("polls", &poll_lane_, kStateTimeoutS);
 
   const auto cloud_lane = [this, deliver](const char* name,
@@ -258,11 +259,12 @@
     });
   };
   cloud_lane("cloud-list", &cloud_list_lane_);
-  for (int i = 0; i < kCloudLaneThreads; ++i) cloud_lane("cloud", &cloud_lane_);
+  for (int i = 0; i < kCloudChangeThreads; ++i)
+    cloud_lane("cloud", &cloud_lane_);
 
   const size_t direct_threads =
-      std::clamp(MostWorkers(settings_) / kWorkersPerDirectThread,
-                 kLeastDirectThreads, kMostDirectThreads);
+      std::clamp(MaxWorkerConnections(settings_) / kWorkersPerPushThread,
+                 kMinPushThreads, kMaxPushThreads);
   for (size_t i = 0; i < direct_threads; ++i) {
     StartThread("direct", [this, deliver] {
       for (;;) {
@@ -306,7 +308,8 @@
   Post(make(request), from_user);
   {
     std::unique_lock lock(slot->mutex);
-    slot->ready.wait_for(lock, std::chrono::duration<double>(kCoreAnswerS),
+    slot->ready.wait_for(lock,
+                         std::chrono::duration<double>(kCoreAnswerTimeoutS),
                          [&] { return slot->done; });
   }
   std::lock_guard lock(slot_mutex_);
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -5,7 +5,8 @@
 #include <memory>
 #include <set>
 
-#include "config/settings.h"
+#include "config/capacity.h"
+#include "config/operator_settings.h"
 #include "core/balance/image_affinity.h"
 #include "core/balance/imbalance.h"
 #include "core/balance/load_bounds.h"
@@ -256,26 +257,23 @@
 }
 
 TEST(SpreadSettings, AreOffUnlessNamed) {
-  PolicySettings policy;
-  std::string error;
-  ASSERT_TRUE(ParseOperatorSettings("fleet { hold_s: 12 }", &policy, &error));
-  EXPECT_FALSE(policy.spread.placement);
-  EXPECT_FALSE(policy.spread.moves);
-  ASSERT_TRUE(ParseOperatorSettings(
-      "load_spread { moves: true headroom: 0.5 most_fetches: 2 }", &policy,
-      &error))
-      << error;
-  EXPECT_TRUE(policy.spread.moves);
-  EXPECT_EQ(policy.spread.headroom, 0.5);
-  EXPECT_EQ(policy.spread.max_concurrent_fetches, 2);
+  auto policy = ParseOperatorSettings("fleet { hold_s: 12 }");
+  ASSERT_TRUE(policy);
+  EXPECT_FALSE(policy->spread.placement);
+  EXPECT_FALSE(policy->spread.moves);
+  policy = ParseOperatorSettings(
+      "load_spread { moves: true headroom: 0.5 most_fetches: 2 }");
+  ASSERT_TRUE(policy) << policy.error().Message();
+  EXPECT_TRUE(policy->spread.moves);
+  EXPECT_EQ(policy->spread.headroom, 0.5);
+  EXPECT_EQ(policy->spread.max_concurrent_fetches, 2);
 }
 
 TEST(SpreadSettings, NameTheFieldThatIsWrong) {
   const auto error_of = [](const std::string& text) {
-    PolicySettings policy;
-    std::string error;
-    EXPECT_FALSE(ParseOperatorSettings(text, &policy, &error)) << text;
-    return error;
+    const auto policy = ParseOperatorSettings(text);
+    EXPECT_FALSE(policy) << text;
+    return policy ? std::string() : policy.error().Message();
   };
   EXPECT_EQ(error_of("load_spread { headroom: 9 }"),
             "load_spread.headroom: must be from 0.05 to 4");
@@ -291,11 +289,11 @@
   ClusterSettings settings;
   settings.socket_limit = 7500;
   settings.memory_limit_mib = 600;
-  EXPECT_GE(MostMachines(settings), 4000u);
+  EXPECT_GE(MaxMachines(settings), 4000u);
   EXPECT_NE(DescribeCapacity(settings).find("bounded by sockets"),
             std::string::npos);
   settings.memory_limit_mib = 48;
-  EXPECT_LT(MostMachines(settings), 4000u);
+  EXPECT_LT(MaxMachines(settings), 4000u);
   EXPECT_NE(DescribeCapacity(settings).find("bounded by memory"),
             std::string::npos);
 }
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,9 +1,14 @@
 // The parts of the core, each by itself.
 #include <gtest/gtest.h>
 
+#include <filesystem>
+#include <fstream>
+
 #include "base/constants.h"
 #include "base/interval_set.h"
-#include "config/settings.h"
+#include "config/capacity.h"
+#include "config/cluster_settings.h"
+#include "config/operator_settings.h"
 #include "core/coordination/completion_store.h"
 #include "core/jobs/job_table.h"
 #include "core/scheduling/wait_predictor.h"
@@ -190,10 +195,23 @@
     "cloud":{"rps":4.0,"list_lag_s":5.0},
     "machine_limits":{"cpu_share":0.12,"ram_mb":72.0,"sockets":1000}}})";
 
+// Parses text that must be good.
+ClusterSettings Parsed(const std::string& text) {
+  const auto settings = ParseClusterSettings(text);
+  if (settings) return *settings;
+  ADD_FAILURE() << settings.error().Message();
+  return ClusterSettings();
+}
+
+// The message of the error that text must lead to.
+template <typename Settings>
+std::string ErrorOf(const SettingsResult<Settings>& result) {
+  EXPECT_FALSE(result.has_value());
+  return result ? std::string() : result.error().Message();
+}
+
 TEST(Settings, AreReadAndUnknownFieldsIgnored) {
-  ClusterSettings settings;
-  std::string error;
-  ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
+  ClusterSettings settings = Parsed(kSettings);
   EXPECT_EQ(settings.node, "perch-0");
   EXPECT_EQ(settings.peers.size(), 1u);
   EXPECT_EQ(settings.state_max_mutations_per_transaction, 16);
@@ -203,28 +221,29 @@
 
 // The limits that are coming, if any are; what they don't name stays.
 TEST(Settings, LimitsOfTheStateServiceThatAreComing) {
-  ClusterSettings settings;
-  std::string error;
-  ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
+  ClusterSettings settings = Parsed(kSettings);
   EXPECT_FALSE(settings.next_state_limits.has_value());
   const auto with = [&](const std::string& next) {
     std::string text = kSettings;
     const std::string mutations = "\"txn_ops\":16";
     text.replace(text.find(mutations), mutations.size(),
                  mutations + ",\"next\":" + next);
-    settings = ClusterSettings();
-    return ParseClusterSettings(text, &settings, &error);
+    return ParseClusterSettings(text);
   };
-  ASSERT_TRUE(with(R"({"write_rps":42.0,"value_kb":2.0,"txn_ops":5})"));
+  auto with_all = with(R"({"write_rps":42.0,"value_kb":2.0,"txn_ops":5})");
+  ASSERT_TRUE(with_all);
+  settings = *with_all;
   EXPECT_DOUBLE_EQ(settings.next_state_limits->mutations_per_s, 42);
   EXPECT_DOUBLE_EQ(settings.next_state_limits->max_value_kib, 2);
   EXPECT_EQ(settings.next_state_limits->max_mutations_per_transaction, 5);
-  ASSERT_TRUE(with(R"({"value_kb":2.0})"));
+  auto with_one = with(R"({"value_kb":2.0})");
+  ASSERT_TRUE(with_one);
+  settings = *with_one;
   EXPECT_DOUBLE_EQ(settings.next_state_limits->mutations_per_s, 60);
   EXPECT_EQ(settings.next_state_limits->max_mutations_per_transaction, 16);
-  EXPECT_FALSE(with(R"({"txn_ops":1})"));
+  std::string error = ErrorOf(with(R"({"txn_ops":1})"));
   EXPECT_EQ(error.find("cluster.state.next.txn_ops"), 0u) << error;
-  EXPECT_FALSE(with("7"));
+  error = ErrorOf(with("7"));
   EXPECT_EQ(error.find("cluster.state.next"), 0u) << error;
 }
 
@@ -237,9 +256,7 @@
   for (const auto& [text, field] : cases) {
     std::string bad = kSettings;
     bad.replace(bad.find(text), std::string(text).size(), "false");
-    ClusterSettings settings;
-    std::string error;
-    EXPECT_FALSE(ParseClusterSettings(bad, &settings, &error));
+    const std::string error = ErrorOf(ParseClusterSettings(bad));
     EXPECT_EQ(error.find(field), 0u) << error;
   }
 }
@@ -254,9 +271,7 @@
                "{\"name\":\"zero\",\"cpus\":0.0,\"cpus_max\":0.0},"
                "{\"name\":\"missing\"}");
   text.replace(text.find("\"wait\""), 6, "17");
-  ClusterSettings settings;
-  std::string error;
-  ASSERT_TRUE(ParseClusterSettings(text, &settings, &error)) << error;
+  const ClusterSettings settings = Parsed(text);
   ASSERT_EQ(settings.teams.size(), 3u);
   EXPECT_EQ(settings.teams[0].cpus_max, 8);
   for (size_t i : {1u, 2u}) {
@@ -272,36 +287,89 @@
 // Sockets bound the connections, memory the threads: with both of a large
 // deployment, with those of the least machine, and with too little.
 TEST(Settings, ConnectionsFitSocketsAndThreadsFitMemory) {
-  ClusterSettings settings;
-  std::string error;
-  ASSERT_TRUE(ParseClusterSettings(kSettings, &settings, &error)) << error;
-  EXPECT_EQ(MostConnections(settings), 900u);
+  ClusterSettings settings = Parsed(kSettings);
+  EXPECT_EQ(MaxConnections(settings), 900u);
   settings.socket_limit = 3034;
   settings.memory_limit_mib = 188;
   // Half as many again as the deployment's thousand machines report here.
-  EXPECT_GT(MostConnections(settings) * kWorkerConnections, 1500);
-  EXPECT_EQ(MostThreads(settings), static_cast<size_t>(kMostThreads));
+  EXPECT_GT(MaxConnections(settings) * kWorkerConnectionShare, 1500);
+  EXPECT_EQ(MaxRequestThreads(settings),
+            static_cast<size_t>(kMaxRequestThreads));
   settings.socket_limit = 900;
   settings.memory_limit_mib = 56;
-  EXPECT_GT(MostThreads(settings),
+  EXPECT_GT(MaxRequestThreads(settings),
             (kMaxWaitingPolls + kMaxWaitingChanges) / kUserThreadShare);
   std::string small = kSettings;
   small.replace(small.find("72.0"), 4, "20.0");
-  EXPECT_FALSE(ParseClusterSettings(small, &settings, &error));
+  const std::string error = ErrorOf(ParseClusterSettings(small));
   EXPECT_EQ(error.find("cluster.machine_limits.ram_mb: is too little"), 0u)
       << error;
 }
 
+// Each field of the file sets its own member; those that are not named keep
+// their defaults.
+TEST(OperatorSettings, EachFieldSetsItsMember) {
+  const auto policy = ParseOperatorSettings(R"(
+      waiting_policy { speculation_s: 11 wait_limit_s: 12 refit_s: 13
+                       tree_depth: 4 tree_leaf_samples: 15 tree_count: 16
+                       tree_samples: 17 }
+      fleet { hold_s: 21 drain_s: 22 dear_drain_s: 23 base_share: 0.24
+              use_spot: false }
+      load_spread { headroom: 0.31 begin_imbalance: 0.33 end_imbalance: 0.32
+                    lasting_s: 34 pause_s: 35 moves_per_minute: 36
+                    team_moves_per_minute: 37 job_moves_per_minute: 38
+                    hold_place_s: 39 most_fetches: 40 })");
+  ASSERT_TRUE(policy) << policy.error().Message();
+  EXPECT_EQ(policy->speculation_limit_s, 11);
+  EXPECT_EQ(policy->wait_limit_s, 12);
+  EXPECT_EQ(policy->predictor_fit_interval_s, 13);
+  EXPECT_EQ(policy->tree_depth, 4);
+  EXPECT_EQ(policy->tree_min_leaf_samples, 15);
+  EXPECT_EQ(policy->tree_count, 16);
+  EXPECT_EQ(policy->tree_max_samples, 17);
+  EXPECT_EQ(policy->idle_release_delay_s, 21);
+  EXPECT_EQ(policy->backlog_limit_s, 22);
+  EXPECT_EQ(policy->premium_backlog_limit_s, 23);
+  EXPECT_EQ(policy->baseline_initial_share, 0.24);
+  EXPECT_FALSE(policy->use_spot);
+  EXPECT_EQ(policy->spread.headroom, 0.31);
+  EXPECT_EQ(policy->spread.start_imbalance, 0.33);
+  EXPECT_EQ(policy->spread.stop_imbalance, 0.32);
+  EXPECT_EQ(policy->spread.min_imbalance_duration_s, 34);
+  EXPECT_EQ(policy->spread.cooldown_s, 35);
+  EXPECT_EQ(policy->spread.moves_per_minute, 36);
+  EXPECT_EQ(policy->spread.team_moves_per_minute, 37);
+  EXPECT_EQ(policy->spread.job_moves_per_minute, 38);
+  EXPECT_EQ(policy->spread.reservation_timeout_s, 39);
+  EXPECT_EQ(policy->spread.max_concurrent_fetches, 40);
+  const auto defaults = ParseOperatorSettings("");
+  ASSERT_TRUE(defaults);
+  EXPECT_EQ(defaults->premium_backlog_limit_s, 300);
+  EXPECT_TRUE(defaults->use_spot);
+}
+
+// One line names the file, the field and the reason.
+TEST(Settings, AnErrorNamesTheFile) {
+  EXPECT_EQ(ErrorOf(LoadClusterSettings("/no/such.json")),
+            "/no/such.json: can't be read");
+  EXPECT_EQ(ErrorOf(ParseClusterSettings("[]")), "not a JSON object");
+  const std::string path = testing::TempDir() + "sorrelwood_operator_settings";
+  std::ofstream(path) << "fleet { hold_s: -5 }";
+  EXPECT_EQ(ErrorOf(LoadOperatorSettings(path)),
+            path + ": fleet.hold_s: must be from 0 to 1e+07");
+  std::ofstream(path) << "fleet {\n  hold: 5 }";
+  EXPECT_EQ(ErrorOf(LoadOperatorSettings(path)).find(path + ": line 2, "), 0u);
+  std::filesystem::remove(path);
+}
+
 TEST(OperatorSettings, AreCheckedAndUnknownFieldsRefused) {
-  PolicySettings policy;
-  std::string error;
-  EXPECT_TRUE(ParseOperatorSettings(
-      "waiting_policy { speculation_s: 60 } fleet { hold_s: 5 }", &policy,
-      &error));
-  EXPECT_DOUBLE_EQ(policy.speculation_limit_s, 60);
-  EXPECT_FALSE(ParseOperatorSettings("fleet { hold: 5 }", &policy, &error));
+  const auto policy = ParseOperatorSettings(
+      "waiting_policy { speculation_s: 60 } fleet { hold_s: 5 }");
+  ASSERT_TRUE(policy);
+  EXPECT_DOUBLE_EQ(policy->speculation_limit_s, 60);
+  std::string error = ErrorOf(ParseOperatorSettings("fleet { hold: 5 }"));
   EXPECT_NE(error.find("hold"), std::string::npos) << error;
-  EXPECT_FALSE(ParseOperatorSettings("fleet { hold_s: -5 }", &policy, &error));
+  error = ErrorOf(ParseOperatorSettings("fleet { hold_s: -5 }"));
   EXPECT_EQ(error.find("fleet.hold_s"), 0u) << error;
 }
 
