--- a/src/http/server.h
+++ b/src/http/server.h
@@ -8,41 +8,40 @@
 #include <memory>
 #include <string>
 
+#include "http/connection_limits.h"
 #include "http/endpoint.h"
 
 namespace sorrelwood {
 
 struct HttpRequest {
-  std::string method, path, body;
+  std::string method;  // "GET" or "POST"
+  std::string path;    // without the query
+  std::string body;
 };
+
 struct HttpReply {
   int status = 200;
   std::string body;
   std::string content_type = "application/json";
-  double retry_after_s = 0;
+  double retry_after_s = 0;  // rounded up to seconds; 0: no such header
 };
-using HttpHandler = std::function<HttpReply(const HttpRequest&)>;
 
-// Who connects, each with a share of its own, so that none shuts out another.
-// Probes and whoever has not asked yet have what the shares leave of the total.
-enum class PeerKind { kWorker, kUser, kOther };
-struct ConnectionLimits {
-  size_t total = 0, workers = 0, users = 0;
-  double worker_idle_s = 0;   // a worker that is quiet for so long is gone
-  double worker_stale_s = 0;  // and for so long makes room for another
-  size_t threads = 0;         // that read and answer requests
-};
-using PeerClassifier = std::function<PeerKind(const std::string& path)>;
+// Called by several threads at once; may block.
+using HttpHandler = std::function<HttpReply(const HttpRequest&)>;
 
 class HttpServer {
  public:
   HttpServer(const Endpoint& endpoint, const ConnectionLimits& limits,
-             PeerClassifier classify, HttpHandler handler);
+             ClientClassifier classify, HttpHandler handler);
   ~HttpServer();
 
-  bool Bind();   // false: the address can't be had
-  void Serve();  // returns after Stop
+  // False when the address can't be had.
+  bool Bind();
+  // Serves until Stop; all threads of the server have ended when it returns.
+  void Serve();
+  // May be called by any thread, once.
   void Stop();
+  // The port that was bound; of use when the endpoint's is 0.
   int port() const;
 
  private:
--- a/src/server/app.cc
+++ b/src/server/app.cc
@@ -9,6 +9,7 @@
 
 #include "base/constants.h"
 #include "cloud/cloud_client.h"
+#include "concurrency/clocks.h"
 #include "config/capacity.h"
 #include "protocol/client_codec.h"
 #include "protocol/field_names.h"
@@ -18,18 +19,6 @@
 namespace sorrelwood {
 namespace {
 
-double SteadyNow() {
-  return std::chrono::duration<double>(
-             std::chrono::steady_clock::now().time_since_epoch())
-      .count();
-}
-
-double WallNow() {
-  return std::chrono::duration<double>(
-             std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-
 HttpReply Error(int status, const std::string& message,
                 double retry_after_s = 0) {
   return {status, protocol::EncodeError(message), "application/json",
@@ -85,9 +74,9 @@
   server_ = std::make_unique<HttpServer>(
       endpoint, limits,
       [](const std::string& path) {
-        return path == protocol::path::kHeartbeat    ? PeerKind::kWorker
-               : path == "/up" || path == "/metrics" ? PeerKind::kOther
-                                                     : PeerKind::kUser;
+        return path == protocol::path::kHeartbeat    ? ClientKind::kWorker
+               : path == "/up" || path == "/metrics" ? ClientKind::kOther
+                                                     : ClientKind::kUser;
       },
       [this](const HttpRequest& request) { return Handle(request); });
   listener_ = std::make_unique<PeerListener>(
@@ -210,7 +199,7 @@
     });
   };
   const auto state_lane = [this, deliver](const char* name,
-                                          WaitQueue<Action>* queue,
+                                          BlockingQueue<Action>* queue,
                                           double timeout_s) {
     StartThread(name, [this, deliver, queue, timeout_s] {
       StateClient client(settings_.state_address, timeout_s);
@@ -242,7 +231,7 @@
     state_lane("polls", &poll_lane_, kStateTimeoutS);
 
   const auto cloud_lane = [this, deliver](const char* name,
-                                          WaitQueue<Action>* queue) {
+                                          BlockingQueue<Action>* queue) {
     StartThread(name, [this, deliver, queue] {
       CloudClient client(settings_.cloud_address, kCloudTimeoutS);
       for (;;) {
--- a/src/server/app.h
+++ b/src/server/app.h
@@ -10,6 +10,7 @@
 #include <string>
 #include <vector>
 
+#include "concurrency/blocking_queue.h"
 #include "concurrency/threads.h"
 #include "core/controller/controller.h"
 #include "http/server.h"
@@ -66,9 +67,9 @@
   void Post(Input input, bool from_user = false);
   bool Crowded();
 
-  WaitQueue<Action> renewal_lane_, leader_lane_, user_lane_, poll_lane_;
-  WaitQueue<Action> watch_lane_;
-  WaitQueue<Action> list_lane_, cloud_lane_, cloud_list_lane_, direct_lane_;
+  BlockingQueue<Action> renewal_lane_, leader_lane_, user_lane_, poll_lane_;
+  BlockingQueue<Action> watch_lane_;
+  BlockingQueue<Action> list_lane_, cloud_lane_, cloud_list_lane_, direct_lane_;
 
   std::mutex slot_mutex_;
   std::map<uint64_t, std::shared_ptr<Slot>> slots_;
--- a/tests/adapter_test.cc
+++ b/tests/adapter_test.cc
@@ -28,9 +28,9 @@
             {"127.0.0.1", 0},
             {connections, workers, connections, 60, stale_s, threads},
             [](const std::string& path) {
-              return path == "/worker" ? PeerKind::kWorker
-                     : path == "/up"   ? PeerKind::kOther
-                                       : PeerKind::kUser;
+              return path == "/worker" ? ClientKind::kWorker
+                     : path == "/up"   ? ClientKind::kOther
+                                       : ClientKind::kUser;
             },
             std::move(handler)) {
     EXPECT_TRUE(server_.Bind());
