--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -60,15 +60,6 @@
 // One watch; short, so that a dead connection is noticed.
 inline constexpr double kWatchS = 2.0;
 inline constexpr double kWatchSlackS = 3.0;
-// Polls that wait for a check with the state service share one transaction; the
-// first one waits at most this long (s), or longer where all nodes together
-// would otherwise use more than this share of the service's requests.
-inline constexpr double kCheckBatchS = 0.08;
-inline constexpr double kCheckShare = 0.3;
-// The share that all nodes together use to look up jobs they do not know, when
-// users ask; and the least a node may ask for in a second.
-inline constexpr double kLookUpShare = 0.2;
-inline constexpr double kLeastLookUps = 2.0;
 // Finished tasks are collected for this long before they are written (s).
 inline constexpr double kFinishBatchS = 0.25;
 // Share of the state service's write rate that one leader uses; the rest is for
@@ -90,9 +81,10 @@
 inline constexpr uint32_t kTasksPerHexDigit = 4;
 // Conditions that a transaction may have for each change (protocol).
 inline constexpr size_t kPreconditionsPerMutation = 4;
-// Bytes of a rental's record besides the machines' names, and of one name.
-inline constexpr size_t kRentRecordBytes = 320;
-inline constexpr size_t kMachineNameBytes = 24;
+// Bytes that a provisioning request's record takes at most beside the machines'
+// names, and for one name.
+inline constexpr size_t kProvisioningRecordOverheadBytes = 320;
+inline constexpr size_t kMachineNameMaxBytes = 24;
 // Items that one listing asks for: the most that the service gives, since a
 // takeover reads the records of the whole fleet.
 inline constexpr int kListPage = 1000;
@@ -101,11 +93,28 @@
 // others at least so long after the refusals began (s).
 inline constexpr double kShutOutS = 1.0;
 
-// --- Users
-// ----------------------------------------------------------------------- The
-// user gives up after 5 s (submit) or 2 s (poll): answer 503 before that.
-inline constexpr double kSubmitAnswerS = 3.5;
-inline constexpr double kPollAnswerS = 1.5;
+// --- Users -------------------------------------------------------------------
+// When a request that still waits for the state service is answered 503 (s):
+// the user gives up after 5 s (submit, cancel) or 2 s (poll).
+inline constexpr double kSubmitTimeoutS = 3.5;
+inline constexpr double kPollTimeoutS = 1.5;
+// The pause that a user is asked to make (Retry-After, s) after a 503, and
+// after load shedding (429).
+inline constexpr double kUnavailableRetryAfterS = 1.0;
+inline constexpr double kOverloadedRetryAfterS = 2.0;
+// Polls that wait for a quorum read share one transaction; the first one waits
+// at most this long (s), or longer where all nodes together would otherwise use
+// more than this share of the state service's requests.
+inline constexpr double kQuorumReadBatchS = 0.08;
+inline constexpr double kQuorumReadRateShare = 0.3;
+// Quorum reads of one node that may be under way: a slow answer does not hold
+// up the next batch, and a state service that is out does not pile them up.
+inline constexpr int kMaxQuorumReadsInFlight = 4;
+// The share of the state service's requests that all nodes together use to look
+// up jobs they do not know, when users poll; and the least that a node may look
+// up in a second.
+inline constexpr double kLookupRateShare = 0.2;
+inline constexpr double kMinLookupsPerS = 2.0;
 // Requests that may wait for the state service at once, polls apart from
 // submissions and cancellations, so that a storm of the first leaves room for
 // the others; further ones get 429.
@@ -252,56 +261,78 @@
 inline constexpr uint64_t kSpeedJobTasks = 5;
 inline constexpr double kSpeedLeastRunS = 4.0;
 
-// --- Cloud
-// ------------------------------------------------------------------------
+// --- Cloud -------------------------------------------------------------------
+// The wait for the answer to one call (s).
 inline constexpr double kCloudTimeoutS = 5.0;
-// Share of the cloud's call rate that is used.
+// The share of the cloud's call rate that the leader uses: calls beyond the
+// rate are refused (429).
 inline constexpr double kCloudRateShare = 0.8;
-inline constexpr double kListEveryS = 4.0;
-// The share of these calls that reading the list of a large fleet may take: at
-// the usual interval the nine pages of 4,500 machines would take most of them
-// from rentals and returns.
-inline constexpr double kListShare = 0.25;
-// What a list may lag beyond twice the usual (s).
-inline constexpr double kListMarginS = 1.0;
-inline constexpr size_t kMachinePage = 500;  // the most that a page may hold
-inline constexpr double kCatalogEveryS = 60.0;
-// Pause before an offer that was refused is asked for again (s).
-inline constexpr double kRefusedOfferS = 12.0;
-// The same after a 429 or an outage of the cloud (s).
-inline constexpr double kCloudTroubleS = 3.0;
-// An offer is dear when it costs this many times what the cheapest would.
-inline constexpr double kDearRatio = 1.6;
-// How far over the time that an aim leaves the cheap machines' work may run
-// before dear ones are rented.
-inline constexpr double kDearSlack = 2.0;
-// An aim that leaves less than so many boot times is no reason for a dear
-// machine: it would be up too late.
-inline constexpr double kDearBoots = 1.0;
-// Room that is kept beyond the work there is before dearer machines are
-// emptied.
-inline constexpr double kExcessMargin = 1.0;
-// Emptying a machine: the longest time to save (s) that is worth it, the free
-// room elsewhere as a multiple of what moves, the share of an ordinary-priced
-// machine that may be in use, and how long a task has run (s): a start that is
-// undone within 30 s counts for no aim.
-inline constexpr double kMoveSaveS = 5.0;
-inline constexpr double kMoveRoom = 1.3;
-inline constexpr double kMoveUsedShare = 0.5;
-inline constexpr double kMoveAfterS = 32.0;
-// A machine that is not up counts in full as coming for this many boot times,
-// the longest usual one, and for nothing after so many.
-inline constexpr double kBootUsual = 1.5;
-inline constexpr double kBootLate = 3.0;
-// It is given up after this many when so many of its type that were asked for
-// no earlier are up, since another would be up sooner; in any case after so
-// many.
-inline constexpr double kBootPatience = 1.8;
-inline constexpr size_t kBootPeers = 3;
-inline constexpr double kBootPatienceMost = 6.0;
-inline constexpr double kBootPatienceMinS = 30.0;
-inline constexpr int kMaxPerRent = 50;
-inline constexpr size_t kMaxPerRelease = 100;
+// How often the catalogue is read (s).
+inline constexpr double kCatalogIntervalS = 60.0;
+
+// How often the cloud's inventory is read (s).
+inline constexpr double kInventoryIntervalS = 4.0;
+// The share of the leader's calls that reading the inventory of a large fleet
+// may take: at the usual interval the nine pages of 4,500 machines would take
+// most of them from provisioning and releases.
+inline constexpr double kInventoryCallShare = 0.25;
+// What the inventory may lag beyond twice the lag that the settings tell (s).
+inline constexpr double kInventoryLagMarginS = 1.0;
+// Machines of one page: the most that the cloud gives.
+inline constexpr size_t kInventoryPageSize = 500;
+
+// Machines that one call provisions or releases at most (protocol).
+inline constexpr int kMaxMachinesPerProvisioning = 50;
+inline constexpr size_t kMaxMachinesPerRelease = 100;
+// Pause before a provisioning call without an answer is repeated (s).
+inline constexpr double kProvisioningRetryS = 1.0;
+// How long an offer without enough capacity is left alone (s).
+inline constexpr double kNoCapacityPauseS = 12.0;
+// The same after any other refusal, a 429 or an outage of the cloud (s).
+inline constexpr double kCloudErrorPauseS = 3.0;
+
+// --- Autoscaling -------------------------------------------------------------
+// How often scale-out and scale-in are planned (s): each plan looks at all
+// machines and jobs.
+inline constexpr double kPlanIntervalS = 1.0;
+// How far a sum of CPUs may be off an exact multiple through rounding (CPUs).
+inline constexpr double kResourceRoundingTolerance = 1e-6;
+
+// An offer is premium when it costs this many times what the cheapest would.
+inline constexpr double kPremiumPriceRatio = 1.6;
+// All work up to a job's may take this many times as long as the job's deadline
+// or objective leaves before premium machines are provisioned for it.
+inline constexpr double kPremiumOverrunRatio = 2.0;
+// A deadline or objective that leaves less than so many boot times is no reason
+// for a premium machine: it would be up too late.
+inline constexpr double kPremiumMinBootTimes = 1.0;
+
+// Capacity that the machines that stay must have, as a multiple of the demand,
+// before dearer ones are excess.
+inline constexpr double kExcessCapacityMargin = 1.0;
+// Draining a machine: the free capacity elsewhere as a multiple of what moves,
+// and the share of a machine at an ordinary price that may be in use.
+inline constexpr double kDrainFreeCapacityRatio = 1.3;
+inline constexpr double kDrainMaxUsedShare = 0.5;
+// What a drained task gets beyond its own time to save its progress (s).
+inline constexpr double kDrainGraceMarginS = 1.0;
+// A task may be stopped to move if it saves its progress within so long (s),
+// and has run for so long (s): a start that is undone within 30 s counts for no
+// objective.
+inline constexpr double kMaxCheckpointSaveS = 5.0;
+inline constexpr double kMinRunBeforeMoveS = 32.0;
+
+// A machine that is not up counts in full for this many of its type's boot
+// times, which covers the usual spread, and for nothing after so many.
+inline constexpr double kFullCreditBootTimes = 1.5;
+inline constexpr double kNoCreditBootTimes = 3.0;
+// It has timed out after this many boot times when so many machines of its type
+// that were provisioned no earlier are up: another would be up sooner. In any
+// case after so many, and never before it is so old (s).
+inline constexpr double kBootTimeoutBootTimes = 1.8;
+inline constexpr size_t kBootTimeoutPeers = 3;
+inline constexpr double kBootTimeoutMaxBootTimes = 6.0;
+inline constexpr double kBootTimeoutMinS = 30.0;
 
 // How often the teams are described in the debug log (s).
 inline constexpr double kDebugEveryS = 5.0;
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -88,7 +88,7 @@
   for (bool more = true; more;) {
     std::string path = std::string(protocol::path::kMachines) + "?" +
                        protocol::query::kLimit + "=" +
-                       std::to_string(kMachinePage);
+                       std::to_string(kInventoryPageSize);
     if (!after.empty())
       path += std::string("&") + protocol::query::kAfter + "=" + after;
     const HttpAnswer answer = http_.Get(path);
--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -23,8 +23,9 @@
       limits_(limits),
       settings_(settings),
       check_every_s_(std::max(
-          kCheckBatchS, static_cast<double>(settings->peers.size() + 1) /
-                            (settings->state_requests_per_s * kCheckShare))) {}
+          kQuorumReadBatchS,
+          static_cast<double>(settings->peers.size() + 1) /
+              (settings->state_requests_per_s * kQuorumReadRateShare))) {}
 
 void JobApi::Tick() {
   std::vector<uint64_t> late;
@@ -40,7 +41,7 @@
   const bool poll = kind == Kind::kPoll;
   const size_t waiting = poll ? open_polls_ : open_.size() - open_polls_;
   open_[request] = {kind,
-                    context_->now + (poll ? kPollAnswerS : kSubmitAnswerS)};
+                    context_->now + (poll ? kPollTimeoutS : kSubmitTimeoutS)};
   if (poll) ++open_polls_;
   if (waiting < (poll ? kMaxWaitingPolls : kMaxWaitingChanges)) return true;
   Busy(request, "too many requests are waiting");
@@ -55,8 +56,8 @@
 // taking the state service's requests from renewals and the leader's writes.
 bool JobApi::MayLookUp() {
   const double rate = std::max(
-      kLeastLookUps, settings_->state_requests_per_s * kLookUpShare /
-                         static_cast<double>(settings_->peers.size() + 1));
+      kMinLookupsPerS, settings_->state_requests_per_s * kLookupRateShare /
+                           static_cast<double>(settings_->peers.size() + 1));
   look_ups_ = std::min(rate, look_ups_ + (context_->now - look_ups_at_) * rate);
   look_ups_at_ = context_->now;
   if (look_ups_ < 1) return false;
--- /dev/null
+++ b/src/core/autoscaling/demand_estimator.cc
@@ -0,0 +1,59 @@
+#include "core/autoscaling/demand_estimator.h"
+
+#include <algorithm>
+#include <cmath>
+
+#include "base/constants.h"
+#include "core/scheduling/placement.h"
+
+namespace sorrelwood {
+
+TeamCpus DemandEstimator::UnusedQuota() const {
+  TeamCpus unused;
+  for (const Team& team : settings_->teams)
+    unused[team.name] = team.cpus_max - jobs_->UsageOf(team.name).cpus;
+  return unused;
+}
+
+double DemandEstimator::TakeStartableTasks(const Job& job,
+                                           TeamCpus* unused_quota) const {
+  if (job.progress.pending.empty() || job.finishing ||
+      context_->now < job.failures.retry_at)
+    return 0;
+  double& unused = (*unused_quota)[job.spec().team];
+  double tasks = job.RunnableTasks(context_->now) -
+                 static_cast<double>(job.speculation.waiting_since.size());
+  if (job.spec().cpus > 0)
+    tasks = std::min(tasks, std::floor(unused / job.spec().cpus +
+                                       kResourceRoundingTolerance));
+  tasks = std::max(0.0, tasks);
+  unused -= tasks * job.spec().cpus;
+  return tasks;
+}
+
+double DemandEstimator::CpuEquivalent(const JobSpec& spec,
+                                      const MachineType& type) {
+  double share = spec.cpus / type.cpus;
+  if (type.memory_gb > 0)
+    share = std::max(share, spec.memory_gb / type.memory_gb);
+  if (type.gpus > 0) share = std::max(share, spec.gpus / type.gpus);
+  return share * type.cpus;
+}
+
+double DemandEstimator::CpuSeconds(const JobSpec& spec, const MachineType& type,
+                                   double window_s) const {
+  return CpuEquivalent(spec, type) * std::min(jobs_->Estimate(spec), window_s);
+}
+
+bool DemandEstimator::CanRunOn(const Job& job, const MachineType& type,
+                               const std::string& zone, bool spot) {
+  const JobSpec& spec = job.spec();
+  if (spec.one_zone && !job.progress.attempts_in_zone.empty() &&
+      job.progress.attempts_in_zone.begin()->first != zone)
+    return false;
+  if (!Placement::AllowsLocation(spec, type, zone, spot)) return false;
+  return spec.cpus <= type.cpus && spec.gpus <= type.gpus &&
+         spec.memory_gb <= type.memory_gb;
+}
+
+}  // namespace sorrelwood
--- /dev/null
+++ b/src/core/autoscaling/expected_capacity.cc
@@ -0,0 +1,65 @@
+#include "core/autoscaling/expected_capacity.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "core/autoscaling/boot_history.h"
+#include "core/autoscaling/demand_estimator.h"
+
+namespace sorrelwood {
+
+bool CountsAsCapacity(const Machine& machine) {
+  return machine.type && machine.lifecycle.identity_confirmed &&
+         !machine.lifecycle.terminating && !machine.health.quarantined &&
+         !machine.contact.unreachable &&
+         machine.lifecycle.preemption_deadline == 0;
+}
+
+double ExpectedCapacity::UsedCpuSeconds(const TaskAttempt& attempt,
+                                        const Job& job, const MachineType& type,
+                                        double window_s) const {
+  const double ran_s =
+      attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
+  const double left_s = jobs_->Estimate(job.spec()) - ran_s;
+  return DemandEstimator::CpuEquivalent(job.spec(), type) *
+         std::clamp(left_s, kMinEstimateS, window_s);
+}
+
+std::vector<ExpectedMachine> ExpectedCapacity::Machines(double window_s) const {
+  std::vector<ExpectedMachine> expected;
+  for (const auto& [name, machine] : machines_->all()) {
+    if (!CountsAsCapacity(*machine)) continue;
+    const double cpus =
+        machine->type->cpus * ExpectedAvailability(*machine, context_->now);
+    ExpectedMachine entry{machine->type, machine->zone, machine->spot, cpus,
+                          cpus * window_s};
+    for (const auto& [task, attempt] : machine->attempts)
+      if (const Job* job = jobs_->Find(task.job))
+        entry.free_cpu_seconds -=
+            UsedCpuSeconds(attempt, *job, *machine->type, window_s);
+    expected.push_back(entry);
+  }
+  for (const ProvisioningRecord* record : requests_->Unanswered()) {
+    const MachineType* type = catalog_->FindType(record->type);
+    for (int i = 0; type && i < record->count; ++i)
+      expected.push_back({type, record->zone, record->spot, type->cpus,
+                          type->cpus * window_s});
+  }
+  return expected;
+}
+
+double ExpectedCapacity::TotalCpus(const ScaleOutPlan& plan) const {
+  double cpus = 0;
+  for (const auto& [name, machine] : machines_->all())
+    if (CountsAsCapacity(*machine))
+      cpus +=
+          machine->type->cpus * ExpectedAvailability(*machine, context_->now);
+  for (const ProvisioningRecord* record : requests_->Unanswered())
+    if (const MachineType* type = catalog_->FindType(record->type))
+      cpus += record->count * type->cpus;
+  for (const Offer& offer : catalog_->offers())
+    cpus += plan.Count(offer) * offer.type->cpus;
+  return cpus;
+}
+
+}  // namespace sorrelwood
--- /dev/null
+++ b/src/core/autoscaling/headroom_planner.cc
@@ -0,0 +1,173 @@
+#include "core/autoscaling/headroom_planner.h"
+
+#include <algorithm>
+
+#include "base/constants.h"
+#include "core/autoscaling/boot_history.h"
+#include "core/autoscaling/expected_capacity.h"
+
+namespace sorrelwood {
+namespace {
+
+bool HoldsReplicas(const Machine& machine) {
+  return std::any_of(
+      machine.attempts.begin(), machine.attempts.end(), [](const auto& item) {
+        return item.second.job_active && item.second.record->spec.IsService();
+      });
+}
+
+}  // namespace
+
+double HeadroomPlanner::ZoneSlots::Covered() const {
+  double sum = 0;
+  for (const auto& [zone, count] : slots) sum += std::min(count, max_per_zone);
+  return sum;
+}
+
+bool HeadroomPlanner::ZoneSlots::IsFull(const std::string& zone) const {
+  const auto it = slots.find(zone);
+  return it != slots.end() && it->second >= max_per_zone;
+}
+
+bool HeadroomPlanner::AwaitsUnseenClass() const {
+  // While there is no work at all nothing is kept for what may come.
+  return !jobs_->all().empty() &&
+         std::any_of(settings_->objectives.begin(), settings_->objectives.end(),
+                     [&](const Objective& objective) {
+                       return objective.kind == "wait" &&
+                              objective.within_s <= kImmediateStartWithinS &&
+                              !jobs_->ProfileOf(objective.job_class);
+                     });
+}
+
+const MachineType* HeadroomPlanner::CheapestType() const {
+  const MachineType* cheapest = nullptr;
+  for (const auto& [name, type] : catalog_->types())
+    if (!cheapest || type.price < cheapest->price) cheapest = &type;
+  return cheapest;
+}
+
+std::vector<Placement::Headroom> HeadroomPlanner::Needs() const {
+  std::vector<Placement::Headroom> needs = placement_->HeadroomNeeds();
+  const MachineType* type = CheapestType();
+  if (!type || !AwaitsUnseenClass()) return needs;
+  // Its jobs may be of any size: each slot is a whole machine.
+  Placement::Headroom need;
+  need.slots = kUnseenClassHeadroomMachines;
+  need.usual.spec.shape = JobShape::kService;
+  need.usual.spec.priority = Priority::kProduction;
+  need.usual.spec.cpus = type->cpus;
+  need.usual.spec.spread = true;
+  needs.push_back(need);
+  return needs;
+}
+
+// --- Machines that are up
+// ----------------------------------------------------
+
+void HeadroomPlanner::SelectMachines() {
+  std::vector<Machine*> candidates;
+  for (auto& [name, machine] : machines_->all()) {
+    machine->role.for_services = machine->type && HoldsReplicas(*machine);
+    if (CountsAsCapacity(*machine) && machine->lifecycle.token_acknowledged)
+      candidates.push_back(machine.get());
+  }
+  const std::vector<Placement::Headroom> needs = Needs();
+  if (needs.empty()) return;
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const Machine* a, const Machine* b) {
+                     if (a->role.for_services != b->role.for_services)
+                       return a->role.for_services;
+                     return PricePerCpu(*a) < PricePerCpu(*b);
+                   });
+  for (const Placement::Headroom& need : needs) Reserve(need, candidates);
+}
+
+void HeadroomPlanner::Reserve(const Placement::Headroom& need,
+                              const std::vector<Machine*>& candidates) {
+  const double max_per_zone = need.OfAZone();
+  std::map<std::string, double> reserved;  // slots, by zone
+  double left = need.slots;
+  for (Machine* machine : candidates) {
+    if (left < 1) break;
+    // Excess machines hold headroom too. What is excess is chosen after this.
+    machine->role.excess = false;
+    const double slots =
+        std::min({left, max_per_zone - reserved[machine->zone],
+                  Placement::HeadroomSlots(*machine, need.usual)});
+    if (slots < 1) continue;
+    reserved[machine->zone] += slots;
+    left -= slots;
+    machine->role.for_services = true;
+  }
+}
+
+// --- Machines to be provisioned
+// ----------------------------------------------
+
+void HeadroomPlanner::Plan(ScaleOutPlan* plan) {
+  for (Placement::Headroom& need : Needs()) {
+    for (const auto& [id, job] : jobs_->all())
+      if (job->spec().job_class == need.job_class && !job->failing())
+        need.slots += job->progress.pending.size();
+    PlanNeed(need, plan);
+  }
+}
+
+void HeadroomPlanner::PlanNeed(const Placement::Headroom& need,
+                               ScaleOutPlan* plan) const {
+  ZoneSlots free = ExpectedSlots(need, *plan);
+  while (free.Covered() < need.slots) {
+    const Offer* offer = CheapestOffer(need.usual, free);
+    if (!offer) return;
+    plan->AddMachine(*offer);
+    AddEmptyMachines(need, *offer->type, offer->zone, offer->spot, 1, &free);
+  }
+}
+
+HeadroomPlanner::ZoneSlots HeadroomPlanner::ExpectedSlots(
+    const Placement::Headroom& need, const ScaleOutPlan& plan) const {
+  ZoneSlots free{need.OfAZone(), {}};
+  for (const auto& [name, machine] : machines_->all()) {
+    if (!CountsAsCapacity(*machine)) continue;
+    if (machine->lifecycle.ever_reported)
+      free.slots[machine->zone] +=
+          Placement::HeadroomSlots(*machine, need.usual);
+    else
+      AddEmptyMachines(need, *machine->type, machine->zone, machine->spot,
+                       ExpectedAvailability(*machine, context_->now), &free);
+  }
+  for (const ProvisioningRecord* record : requests_->Unanswered())
+    if (const MachineType* type = catalog_->FindType(record->type))
+      AddEmptyMachines(need, *type, record->zone, record->spot, record->count,
+                       &free);
+  for (const Offer& offer : catalog_->offers())
+    if (const int planned = plan.Count(offer); planned > 0)
+      AddEmptyMachines(need, *offer.type, offer.zone, offer.spot, planned,
+                       &free);
+  return free;
+}
+
+void HeadroomPlanner::AddEmptyMachines(const Placement::Headroom& need,
+                                       const MachineType& type,
+                                       const std::string& zone, bool spot,
+                                       double machines, ZoneSlots* free) {
+  if (Placement::AllowsLocation(need.usual.spec, type, zone, spot))
+    free->slots[zone] += machines * Placement::SlotsOnType(type, need.usual);
+}
+
+const Offer* HeadroomPlanner::CheapestOffer(const ClassProfile& usual,
+                                            const ZoneSlots& free) const {
+  const Offer* best = nullptr;
+  for (const Offer& offer : catalog_->offers()) {
+    if (catalog_->IsSuspended(offer) || free.IsFull(offer.zone) ||
+        Placement::SlotsOnType(*offer.type, usual) < 1 ||
+        !Placement::AllowsLocation(usual.spec, *offer.type, offer.zone,
+                                   offer.spot))
+      continue;
+    if (!best || offer.PricePerCpu() < best->PricePerCpu()) best = &offer;
+  }
+  return best;
+}
+
+}  // namespace sorrelwood
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -131,7 +131,7 @@
     return false;
   const double ran_s = context_->now - attempt.running_since;
   const bool loses_little = spec.IsService()
-                                ? attempt.stable && ran_s > kMoveAfterS
+                                ? attempt.stable && ran_s > kMinRunBeforeMoveS
                                 : placement_->IsPreemptible(attempt);
   if (!loses_little) return false;
   const Job* job = jobs_->Find(key.job);
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -142,11 +142,11 @@
   context_.Catalog([this](const CloudResult& result) {
     reading_catalog_ = false;
     if (result.outcome != Outcome::kOk) {
-      next_catalog_ = context_.now + (catalog_known_ ? kCatalogEveryS : 1);
+      next_catalog_ = context_.now + (catalog_known_ ? kCatalogIntervalS : 1);
       return;
     }
     catalog_known_ = true;
-    next_catalog_ = context_.now + kCatalogEveryS;
+    next_catalog_ = context_.now + kCatalogIntervalS;
     job_api_.UpdateCatalog(result.types);
     scheduler_.UpdateCatalog(result.types);
   });
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -515,8 +515,8 @@
 bool Placement::IsPreemptible(const TaskAttempt& attempt) const {
   const JobSpec& spec = attempt.record->spec;
   return attempt.job_active && !attempt.stop && attempt.running_since > 0 &&
-         context_->now - attempt.running_since > kMoveAfterS &&
-         spec.checkpoint_s > 0 && spec.save_s <= kMoveSaveS;
+         context_->now - attempt.running_since > kMinRunBeforeMoveS &&
+         spec.checkpoint_s > 0 && spec.save_s <= kMaxCheckpointSaveS;
 }
 
 void Placement::PreemptForGuarantees() {
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -869,7 +869,7 @@
                 200);
     leader.Run(1);
   }
-  const double share = 150 * kLookUpShare / 2;  // of two nodes
+  const double share = 150 * kLookupRateShare / 2;  // of two nodes
   EXPECT_GT(leader.user_reads, 10);
   EXPECT_LE(leader.user_reads, 2 * 11 * share);  // two reads each
 }
