--- /dev/null
+++ b/src/core/api/submission_rules.cc
@@ -0,0 +1,40 @@
+#include "core/api/submission_rules.h"
+
+#include <algorithm>
+
+namespace sorrelwood {
+namespace {
+
+bool Contains(const std::vector<std::string>& names, const std::string& name) {
+  return std::find(names.begin(), names.end(), name) != names.end();
+}
+
+}  // namespace
+
+bool SubmissionRules::FitsType(const JobSpec& spec, const MachineType& type) {
+  if (spec.cpus > type.cpus || spec.gpus > type.gpus ||
+      spec.memory_gb > type.memory_gb)
+    return false;
+  if (!spec.types.empty() && !Contains(spec.types, type.name)) return false;
+  return spec.zone.empty() || Contains(type.zones, spec.zone);
+}
+
+std::optional<std::string> SubmissionRules::RejectionReason(
+    const JobSpec& spec) const {
+  const auto team =
+      std::find_if(settings_->teams.begin(), settings_->teams.end(),
+                   [&](const Team& t) { return t.name == spec.team; });
+  if (team == settings_->teams.end()) return "unknown team " + spec.team;
+  // An array may run a few tasks at a time; the others run all of them.
+  const double together = spec.shape == JobShape::kArray ? 1 : spec.tasks;
+  if (spec.cpus * together > team->cpus_max ||
+      spec.gpus * together > team->gpus_max)
+    return "the job needs more than the limit of team " + spec.team;
+  if (std::none_of(types_.begin(), types_.end(), [&](const MachineType& type) {
+        return FitsType(spec, type);
+      }))
+    return "a task fits no machine type that the job allows";
+  return std::nullopt;
+}
+
+}  // namespace sorrelwood
--- a/src/core/autoscaling/excess_drainer.cc
+++ b/src/core/autoscaling/excess_drainer.cc
@@ -19,6 +19,7 @@
   bool newly_excess = false;
   double used_share = 0;
 
+  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
   auto operator<=>(const ExcessRank&) const = default;
 };
 
--- a/src/core/autoscaling/offer_catalog.h
+++ b/src/core/autoscaling/offer_catalog.h
@@ -21,6 +21,7 @@
   std::string zone;
   bool spot = false;
 
+  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
   auto operator<=>(const CapacityPool&) const = default;
 };
 
--- a/src/core/autoscaling/offer_selector.h
+++ b/src/core/autoscaling/offer_selector.h
@@ -37,6 +37,7 @@
   struct Cost {
     double price_per_task = 0;
     int planned = 0;  // machines of the offer that the plan has
+    // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
     auto operator<=>(const Cost&) const = default;
   };
 
