--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -133,48 +133,75 @@
 inline constexpr size_t kMaxIdLength = 100;
 
 // --- Workers
-// --------------------------------------------------------------------- Pause
-// before a new leader reads its records again after a failure (s).
+// Pause before a new leader reads its records again after a failure (s).
 inline constexpr double kRecoveryRetryS = 0.3;
-// A machine is called silent after this many report intervals.
+// How often the contact with all machines is checked (s): well within one
+// heartbeat interval, so that silence is noticed within it.
+inline constexpr double kHealthCheckEveryS = 0.5;
+// A machine is silent after this many heartbeat intervals without contact.
 inline constexpr double kSilentHeartbeats = 4.5;
-// At most this share of the machines is released early for silence: beyond it
+// At most this share of the machines is returned early for silence: beyond it
 // the fault is more likely the leader's own network.
 inline constexpr double kEarlyReleaseMaxShare = 0.34;
-// Extra silence (s) after a lease has run out before the machine is returned.
+// What a worker may take to stop its tasks once its lease has expired (s).
+inline constexpr double kWorkerStopS = 1.0;
+// Further silence (s) after a lease has expired before the machine is returned;
+// and where many machines are silent, so many worker leases more: they are
+// likely to come back.
 inline constexpr double kUnreachableReleaseDelayS = 3.0;
-// A silent machine is shown the token directly this often (s).
+inline constexpr double kLongLostWorkerLeases = 2.0;
+// How often the fencing token is pushed to a silent machine (s).
 inline constexpr double kPushIntervalS = 1.0;
-// Wait for the answer to a direct command (s).
+// Time-out of the response to pushed commands (s).
 inline constexpr double kPushTimeoutS = 1.5;
-// Report intervals after a takeover within which a machine in reach has shown
-// the new token: its next report, the one that the token makes it send at once,
-// and some to spare. After that it is shown the token directly.
+// Heartbeat intervals after a failover within which a machine in reach has
+// acknowledged the new token: its next heartbeat, the one that the token makes
+// it send at once, and some to spare. After that the token is pushed to it.
 inline constexpr double kFailoverHeartbeats = 2.0;
-// A share of the machines so small may be returned for being the last that hold
-// up what was taken over.
+// At most this share of the machines is returned for being the last that block
+// failover recovery: many more are likely to be cut off.
 inline constexpr double kBlockingMachineShare = 0.05;
-// CPUs and GPUs that a machine of a type that is not known yet may hold.
+// CPUs and GPUs that a machine may hold whose type is not known yet: more than
+// any limit.
 inline constexpr double kUnknownTypeCpus = 1e9;
-// What sets a machine aside when nothing has completed there since: so many
-// errors of jobs that succeed elsewhere, or errors of so many jobs that have
-// succeeded nowhere yet.
+// A machine is quarantined when, since a task last succeeded there, so many
+// attempts failed of jobs that succeed elsewhere, or attempts of so many jobs
+// that have succeeded nowhere yet.
 inline constexpr int kQuarantineErrors = 2;
 inline constexpr size_t kQuarantineFailingJobs = 3;
 // A job that has succeeded nowhere and failed on so many machines is tried one
 // task at a time; on so many it is held to be at fault, and no machine is.
 inline constexpr size_t kFailingJobMachines = 2;
 inline constexpr size_t kBrokenJobMachines = 3;
-// Machines on which one task fails while its job succeeds before the task is
-// held to be at fault.
+// A task that fails so often while its job succeeds is held to be at fault
+// itself.
 inline constexpr int kBrokenTaskErrors = 3;
-// First and longest pause of a job whose tasks fail (s), and how long it keeps
-// off the machines that it failed on.
+// Exponential backoff of a job whose tasks fail: the pause after a first
+// failure (s), the longest pause (s), and the most doublings that are computed,
+// which exceed the longest pause.
 inline constexpr double kJobRetryPauseS = 2.0;
 inline constexpr double kJobRetryPauseMaxS = 60.0;
+inline constexpr int kJobRetryPauseMaxDoublings = 10;
+// How long a job keeps off the machines that it failed on (s).
 inline constexpr double kSuspectMachineAvoidS = 20.0;
-// A machine that refused a task for want of room is left alone this long (s).
+// A machine that refused a start for want of room is given none for so long
+// (s).
 inline constexpr double kRefusedStartPauseS = 3.0;
+// After a preemption notice a task runs on when it is expected to end within
+// this share of the time left: estimates are inaccurate.
+inline constexpr double kEndsBeforePreemptionShare = 0.5;
+// How often tasks at the speculation limit, replicas on departing machines and
+// preemption for guarantees are looked at (s).
+inline constexpr double kPolicyEveryS = 1.0;
+
+// --- Peers
+// How often a node sends its status to the other controllers (s); every so many
+// messages the leader's carries the counts of all jobs, not only of those that
+// have changed, since messages may be lost.
+inline constexpr double kPeerStatusEveryS = 1.0;
+inline constexpr uint64_t kPeerStatusFullEvery = 10;
+// The longest time since the state service served a node that is told (ms).
+inline constexpr double kMaxServedAgoMs = 1e6;
 
 // --- Placement
 // --------------------------------------------------------------------- How
@@ -269,6 +296,8 @@
 inline constexpr double kCloudRateShare = 0.8;
 // How often the catalogue is read (s).
 inline constexpr double kCatalogIntervalS = 60.0;
+// The same while no catalogue is known yet: nothing can be provisioned.
+inline constexpr double kCatalogFirstRetryS = 1.0;
 
 // How often the cloud's inventory is read (s).
 inline constexpr double kInventoryIntervalS = 4.0;
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -1,20 +1,24 @@
 // The core of one controller: a state machine without clock, socket, thread or
-// log. Every input brings the time; what is to be done comes back as actions.
+// log. Each input brings the time; what is to be done is returned as actions.
 #pragma once
 
-#include <map>
-#include <memory>
+#include <cstdint>
 #include <string>
-#include <vector>
 
 #include "core/api/job_api.h"
-#include "core/controller/scheduler.h"
+#include "core/controller/catalog_refresher.h"
+#include "core/controller/leader_role.h"
+#include "core/controller/node_health.h"
+#include "core/controller/peer_status_exchange.h"
+#include "core/controller/scheduler_statistics.h"
 #include "core/coordination/job_cache.h"
 #include "core/coordination/leader_election.h"
+#include "core/coordination/state_limits.h"
 #include "core/engine/context.h"
 
 namespace sorrelwood {
 
+// Joins the parts of a controller and passes inputs on to them.
 class Controller {
  public:
   // `incarnation` differs between processes of the same node; it also seeds the
@@ -22,39 +26,47 @@
   Controller(const ClusterSettings& settings, const PolicySettings& policy,
              uint64_t incarnation);
 
+  // When an input came.
   struct Time {
-    double steady = 0, wall = 0;
+    double steady = 0;  // of a clock that never goes back (s)
+    double wall = 0;    // time of day (s since the epoch)
   };
 
+  // Does what is due; called every kTickS.
   Actions Tick(Time time);
+  // Requests of users. `request` names the connection to answer.
   Actions Submit(Time time, uint64_t request, const JobSpec& spec);
   Actions Poll(Time time, uint64_t request, const std::string& job);
   Actions Cancel(Time time, uint64_t request, const std::string& job);
+  // A heartbeat of a worker: answered by the leader alone. Other nodes answer
+  // 421 and name the leader; a leader that may not renew leases answers 503.
   Actions OnHeartbeat(Time time, uint64_t request, const Heartbeat& heartbeat);
+  // Results of actions. A result that was delivered before is ignored.
   Actions Deliver(Time time, const StateResult& result);
   Actions Deliver(Time time, const CloudResult& result);
   Actions Deliver(Time time, const PushResult& result);
-  Actions OnPeerStatus(Time time, const PeerStatus& note);
+  // A status message of another controller.
+  Actions OnPeerStatus(Time time, const PeerStatus& status);
 
   struct Statistics {
     bool leading = false, may_dispatch = false, may_renew_worker_leases = false;
-    uint64_t term = 0;
-    Scheduler::Statistics scheduler;
+    uint64_t term = 0;  // the highest known
+    SchedulerStatistics scheduler;
   };
-  Statistics CollectStatistics();
+  Statistics CollectStatistics() const;
   bool leading() const { return election_.leading(); }
-  // False while the state service refuses this node but serves most others:
-  // users are better off with them. In an outage nobody is, and all stay.
-  bool Healthy() const;
-  // Machines and jobs that were looked at for the last input.
+  // See NodeHealth.
+  bool Healthy() const { return node_health_.Healthy(); }
+  // How many machines and jobs were examined for the last input.
   uint64_t work() const { return context_.work; }
   void set_debug(bool debug) { context_.debug = debug; }
 
  private:
-  void Begin(Time time);
-  Actions End();
-  void ReadCatalog();
-  void BroadcastPeerStatus();
+  // Every input is handled between these two.
+  void BeginInput(Time time);
+  Actions EndInput();
+  // The response of a node that may not answer as the leader.
+  HeartbeatResponse RefuseHeartbeat(uint64_t request) const;
 
   const ClusterSettings settings_;
   Context context_;
@@ -62,16 +74,11 @@
   JobCache job_cache_;
   LeaderElection election_;
   JobApi job_api_;
-  Scheduler scheduler_;
-  uint64_t incarnation_;
-  bool began_ = false;  // an input has come
-
-  bool catalog_known_ = false, reading_catalog_ = false;
-  double next_catalog_ = 0, next_peer_status_ = 0;
-  uint64_t peer_status_sequence_ = 0;
-  std::map<std::string, JobCounts> sent_counts_;
-  // When the state service last served each peer, by its notes.
-  std::map<std::string, double> peer_served_at_;
+  LeaderRole leader_role_;
+  NodeHealth node_health_;
+  PeerStatusExchange peer_status_;
+  CatalogRefresher catalog_;
+  bool had_input_ = false;
 };
 
 }  // namespace sorrelwood
--- /dev/null
+++ b/src/core/controller/leader_role.h
@@ -0,0 +1,128 @@
+// The parts that are active while this node leads the cluster, joined: they
+// receive heartbeats, place tasks, scale the fleet, commit results and handle
+// failures. Each part decides for itself; this class only says when.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "base/constants.h"
+#include "base/periodic_timer.h"
+#include "core/autoscaling/autoscaler.h"
+#include "core/balance/bounded_placement.h"
+#include "core/balance/rebalancer.h"
+#include "core/controller/failover_recovery.h"
+#include "core/controller/job_lifecycle.h"
+#include "core/controller/scheduler_statistics.h"
+#include "core/coordination/completion_store.h"
+#include "core/coordination/job_cache.h"
+#include "core/coordination/job_finisher.h"
+#include "core/coordination/leader_election.h"
+#include "core/coordination/state_limits.h"
+#include "core/coordination/state_writer.h"
+#include "core/engine/context.h"
+#include "core/jobs/job_table.h"
+#include "core/machines/machine_table.h"
+#include "core/scheduling/placement.h"
+#include "core/scheduling/preemption.h"
+#include "core/scheduling/replica_manager.h"
+#include "core/scheduling/waiting_policy.h"
+#include "core/workers/attempt_tracker.h"
+#include "core/workers/command_selector.h"
+#include "core/workers/failure_tracker.h"
+#include "core/workers/health_monitor.h"
+#include "core/workers/heartbeat_handler.h"
+#include "core/workers/machine_recorder.h"
+#include "core/workers/preemption_notices.h"
+#include "core/workers/quarantine.h"
+#include "core/workers/reconciler.h"
+#include "core/workers/task_outcomes.h"
+#include "core/workers/task_status_handler.h"
+#include "core/workers/unreconciled_machines.h"
+
+namespace sorrelwood {
+
+class LeaderRole {
+ public:
+  // `seed`: of the wait predictor's random numbers.
+  LeaderRole(Context* context, JobCache* job_cache, LeaderElection* election,
+             const ClusterSettings* settings, const StateLimitTracker* limits,
+             const PolicySettings& policy, uint64_t seed);
+  // The parts point at each other.
+  LeaderRole(const LeaderRole&) = delete;
+  LeaderRole& operator=(const LeaderRole&) = delete;
+
+  // This node has become the leader: recovery begins.
+  void OnLeadershipAcquired();
+  // This node does not lead any more: everything is forgotten.
+  void OnLeadershipLost();
+  // Does what is due. Does nothing while this node does not lead.
+  void Tick();
+  // No input was handled for `gap_s` seconds.
+  void OnProcessPause(double gap_s) { health_monitor_.OnProcessPause(gap_s); }
+  // The cloud's catalogue of machine types was read.
+  void UpdateCatalog(const std::vector<MachineType>& types);
+  // The job cache has learned of a job, or of its end.
+  void OnJobLive(const std::string& id);
+  void OnJobEnded(const std::string& id);
+  // A heartbeat that this node may answer as the leader. `request` names the
+  // connection to answer.
+  void OnHeartbeat(uint64_t request, const Heartbeat& heartbeat);
+
+  // Empty before recovery is complete.
+  std::vector<JobCounts> CollectJobCounts() const;
+  SchedulerStatistics CollectStatistics() const {
+    return statistics_.Collect();
+  }
+
+ private:
+  // One group of steps of a tick each.
+  void CommitResults();
+  void ApplyPolicies();
+  void PreemptForServices();
+  void PlacePending();
+
+  Context* context_;
+  LeaderElection* election_;
+
+  JobTable jobs_;
+  MachineTable machines_;
+  UnreconciledMachines unreconciled_;
+
+  Placement placement_;
+  StateWriter writer_;
+  CompletionStore completions_;
+  JobFinisher job_finisher_;
+  Autoscaler autoscaler_;
+  ReplicaManager replicas_;
+  Preemption preemption_;
+  WaitingPolicy waiting_;
+  BoundedPlacement bounded_placement_;
+  Rebalancer rebalancer_;
+
+  AttemptTracker attempts_;
+  Quarantine quarantine_;
+  FailureTracker failures_;
+  TaskOutcomes task_outcomes_;
+  TaskStatusHandler task_status_;
+  MachineRecorder machine_recorder_;
+  PreemptionNotices preemption_notices_;
+  Reconciler reconciler_;
+  CommandSelector commands_;
+  HealthMonitor health_monitor_;
+  HeartbeatHandler heartbeat_handler_;
+
+  JobLifecycle job_lifecycle_;
+  FailoverRecovery recovery_;
+  SchedulerStatisticsCollector statistics_;
+
+  PeriodicTimer health_timer_{kHealthCheckEveryS};
+  PeriodicTimer commit_timer_{kFinishBatchS};
+  PeriodicTimer policy_timer_{kPolicyEveryS};
+  PeriodicTimer preemption_timer_{kPreemptEveryS};
+  PeriodicTimer team_usage_timer_{kDebugEveryS};
+  PeriodicTimer placement_timer_{kPlaceEveryS};
+};
+
+}  // namespace sorrelwood
--- a/src/core/model/heartbeat.h
+++ b/src/core/model/heartbeat.h
@@ -2,6 +2,7 @@
 // every task attempt, and commands in return.
 #pragma once
 
+#include <compare>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -37,6 +38,14 @@
   bool saved = false;  // a checkpoint was written
 };
 
+// Identifies one heartbeat of a machine. Ordered as the worker sent them: an
+// agent that starts anew has a higher incarnation and counts from the start.
+struct HeartbeatId {
+  uint64_t incarnation = 0, sequence = 0;
+
+  auto operator<=>(const HeartbeatId&) const = default;
+};
+
 // A worker's periodic report: everything that is on the machine.
 struct Heartbeat {
   std::string machine, address, type, zone;
@@ -48,6 +57,8 @@
   // The cloud takes the machine back after so long (s).
   std::optional<double> preemption_notice_s;
   std::vector<TaskStatus> tasks;
+
+  HeartbeatId id() const { return {incarnation, sequence}; }
 };
 
 enum class CommandKind {
--- a/src/core/workers/unreconciled_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -9,11 +9,11 @@
 void UnreconciledMachines::Remove(const std::string& name) {
   const auto it = shares_.find(name);
   if (it == shares_.end()) return;
-  inherited_ -= it->second.from_earlier_term ? 1 : 0;
+  from_earlier_term_ -= it->second.from_earlier_term ? 1 : 0;
   cpus_ -= it->second.cpus;
   gpus_ -= it->second.gpus;
   shares_.erase(it);
-  // No rounding is carried over.
+  // Rounding errors are not carried over.
   if (shares_.empty()) cpus_ = gpus_ = 0;
 }
 
@@ -26,7 +26,7 @@
   share.from_earlier_term = machine.lifecycle.from_earlier_term;
   share.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
   share.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
-  inherited_ += share.from_earlier_term ? 1 : 0;
+  from_earlier_term_ += share.from_earlier_term ? 1 : 0;
   cpus_ += share.cpus;
   gpus_ += share.gpus;
   shares_[machine.name] = share;
@@ -35,7 +35,7 @@
 void UnreconciledMachines::Recount(
     const std::map<std::string, std::unique_ptr<Machine>>& machines) {
   shares_.clear();
-  inherited_ = 0;
+  from_earlier_term_ = 0;
   cpus_ = gpus_ = 0;
   for (const auto& [name, machine] : machines) Update(*machine);
 }
@@ -43,7 +43,7 @@
 void UnreconciledMachines::Clear() {
   shares_.clear();
   with_unknown_tasks_.clear();
-  inherited_ = 0;
+  from_earlier_term_ = 0;
   cpus_ = gpus_ = 0;
 }
 
@@ -56,4 +56,8 @@
   if (with_unknown_tasks_.erase(machine.name) > 0) Update(machine);
 }
 
+void UnreconciledMachines::ReserveIn(Placement* placement) const {
+  placement->set_unreconciled(from_earlier_term_, cpus_, gpus_);
+}
+
 }  // namespace sorrelwood
--- a/src/core/workers/unreconciled_machines.h
+++ b/src/core/workers/unreconciled_machines.h
@@ -1,7 +1,8 @@
-// Machines on which tasks may run that this leader does not know of:
-// inherited machines that have not shown its token yet, and machines
-// that report tasks of no known job. What they may hold counts against every
-// team's limit.
+// Machines that may run tasks which are unknown to this leader: machines of an
+// earlier term that have not acknowledged its fencing token yet, and machines
+// that report tasks of no known job. What they may run counts against every
+// team's limit. Guards against a new leader that takes teams over their limits
+// by starting tasks beside those that an earlier leader started.
 #pragma once
 
 #include <map>
@@ -10,30 +11,28 @@
 #include <string>
 
 #include "core/machines/machine_table.h"
+#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
-// Keeps the totals as machines change, since a takeover of thousands of
-// machines hears each of them for the first time: a look at all machines for
-// each such report would cost the square of the fleet.
+// Updates the totals as machines change. After a failover thousands of machines
+// report for the first time: summing over all machines for each report would
+// cost the square of the fleet size.
 class UnreconciledMachines {
  public:
-  // Takes the machine in or out, as it is now.
+  // Counts the machine by its present state, or no longer.
   void Update(const Machine& machine);
-  // The same for all machines, for instance once their types are known.
+  // Counts all machines anew, as when their types have become known.
   void Recount(const std::map<std::string, std::unique_ptr<Machine>>& machines);
   void Clear();
 
-  // The machine reports a task that this leader can't tell the job of.
+  // The machine reports a task of no known job.
   void AddUnknownTask(const Machine& machine);
-  // It no longer holds any such task.
+  // The machine holds no such task any more.
   void ForgetUnknownTasks(const Machine& machine);
 
-  // Machines whose tasks an earlier leader may have placed.
-  int from_earlier_term() const { return inherited_; }
-  // What all unreconciled machines could hold together.
-  double cpus() const { return cpus_; }
-  double gpus() const { return gpus_; }
+  // Has the placement hold the capacity that these machines may use.
+  void ReserveIn(Placement* placement) const;
 
  private:
   // What one machine adds to the totals.
@@ -45,7 +44,7 @@
 
   std::map<std::string, Share> shares_;
   std::set<std::string> with_unknown_tasks_;
-  int inherited_ = 0;
+  int from_earlier_term_ = 0;  // machines
   double cpus_ = 0, gpus_ = 0;
 };
 
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -36,7 +36,7 @@
   Value("may_launch").Set(f.may_dispatch);
   Value("may_answer_workers").Set(f.may_renew_worker_leases);
   Value("term").Set(static_cast<double>(f.term));
-  const Scheduler::Statistics& s = f.scheduler;
+  const SchedulerStatistics& s = f.scheduler;
   Value("jobs").Set(static_cast<double>(s.jobs));
   Value("tasks_pending").Set(static_cast<double>(s.pending));
   Value("tasks_placed").Set(static_cast<double>(s.placed));
