--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -207,14 +207,20 @@
 // --------------------------------------------------------------------- How
 // often queued work is matched with machines (s).
 inline constexpr double kPlaceEveryS = 0.1;
+// Amounts of cores and memory that differ by less are equal: sums of many tasks
+// of a fraction of a core each drift by rounding.
+inline constexpr double kResourceRounding = 1e-6;
+// What a task that is to stop has beyond the time that it needs to save (s):
+// the worker kills it when that is over.
+inline constexpr double kSaveGraceMarginS = 1.0;
 // Jobs from the front of the queue that one pass looks at, and how many of each
 // team it looks at in any case.
-inline constexpr size_t kFrontJobs = 64;
-inline constexpr size_t kFrontJobsOfTeam = 12;
+inline constexpr size_t kPassJobs = 64;
+inline constexpr size_t kPassJobsPerTeam = 12;
 // Above this many machines with room a pass looks at a sample of them, with
 // those in it that hold the images of so many first jobs.
 inline constexpr size_t kSampleMachines = 400;
-inline constexpr size_t kSampleJobs = 8;
+inline constexpr size_t kSampleImageJobs = 8;
 // A fetch that takes over this share of a task's run time is long: a machine
 // that has the image goes before a better fit.
 inline constexpr double kLongFetchShare = 0.1;
@@ -233,7 +239,7 @@
 // Room for replicas that are yet to come: arrivals of a class are counted over
 // so long (s), and the room holds those of one boot and so many jobs more.
 inline constexpr double kArrivalWindowS = 60.0;
-inline constexpr double kLeastArrivalSpanS = 20.0;
+inline constexpr double kMinArrivalSpanS = 20.0;
 inline constexpr double kHeadroomJobs = 2.0;
 // None is kept for a class of which nothing has come for so long (s).
 inline constexpr double kHeadroomMemoryS = 600.0;
@@ -262,9 +268,9 @@
 // Work that has waited for so long (s) may use the room kept for services,
 // which may stop it again.
 inline constexpr double kReserveYieldS = 30.0;
-inline constexpr double kReserveMostShare = 0.12;
-inline constexpr double kLeastTaskCpus = 0.1;  // counted for a task
-inline constexpr double kReserveJobs = 1.0;    // how many usual jobs it holds
+inline constexpr double kReserveMaxShare = 0.12;
+inline constexpr double kMinTaskCpus = 0.1;  // counted for a task
+inline constexpr double kReserveJobs = 1.0;  // how many usual jobs it holds
 // Weight of one more job in what is usual for its class.
 inline constexpr double kClassProfileLearningRate = 0.2;
 
--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -27,7 +27,7 @@
       headroom_(context, jobs, machines, placement, &catalog_, &requests_,
                 settings),
       baseline_(machines, &catalog_, policy),
-      excess_(context, jobs, machines, placement, &demand_, policy),
+      excess_(context, jobs, machines, &demand_, policy),
       idle_(context, machines, &releases_, policy) {
   releases_.on_gone = [this](Machine* machine) {
     if (on_gone) on_gone(machine);
@@ -57,7 +57,8 @@
 }
 
 void Autoscaler::Tick(bool may_dispatch, double dispatch_deadline) {
-  if (!may_dispatch || placement_->unreconciled() > 0) idle_.OnWorkBlocked();
+  if (!may_dispatch || placement_->admission().unreconciled_machines() > 0)
+    idle_.OnWorkBlocked();
   // Prevents a leader that is cut off, and perhaps replaced, from releasing
   // machines: its call may be carried out late, when the next leader's work
   // runs there.
--- a/src/core/autoscaling/demand_estimator.cc
+++ b/src/core/autoscaling/demand_estimator.cc
@@ -51,7 +51,7 @@
   if (spec.one_zone && !job.progress.attempts_in_zone.empty() &&
       job.progress.attempts_in_zone.begin()->first != zone)
     return false;
-  if (!Placement::AllowsLocation(spec, type, zone, spot)) return false;
+  if (!AllowsLocation(spec, type, zone, spot)) return false;
   return spec.cpus <= type.cpus && spec.gpus <= type.gpus &&
          spec.memory_gb <= type.memory_gb;
 }
--- a/src/core/autoscaling/excess_drainer.cc
+++ b/src/core/autoscaling/excess_drainer.cc
@@ -6,6 +6,7 @@
 
 #include "base/constants.h"
 #include "core/autoscaling/offer_catalog.h"
+#include "core/scheduling/task_stop.h"
 
 namespace sorrelwood {
 namespace {
@@ -80,9 +81,10 @@
   if (!machine.role.excess || machine.attempts.empty()) return false;
   if (!premium && machine.cpus_used > machine.type->cpus * kDrainMaxUsedShare)
     return false;
-  return std::all_of(
-      machine.attempts.begin(), machine.attempts.end(),
-      [&](const auto& item) { return placement_->IsPreemptible(item.second); });
+  return std::all_of(machine.attempts.begin(), machine.attempts.end(),
+                     [&](const auto& item) {
+                       return IsPreemptible(item.second, context_->now);
+                     });
 }
 
 void ExcessDrainer::DrainExcess(const std::vector<Machine*>& machines) {
--- a/src/core/autoscaling/excess_drainer.h
+++ b/src/core/autoscaling/excess_drainer.h
@@ -9,7 +9,6 @@
 #include "core/jobs/job_table.h"
 #include "core/machines/machine_table.h"
 #include "core/model/settings.h"
-#include "core/scheduling/placement.h"
 
 namespace sorrelwood {
 
@@ -17,12 +16,10 @@
  public:
   // The pointers must outlive this object.
   ExcessDrainer(Context* context, JobTable* jobs, MachineTable* machines,
-                const Placement* placement, const DemandEstimator* demand,
-                const PolicySettings& policy)
+                const DemandEstimator* demand, const PolicySettings& policy)
       : context_(context),
         jobs_(jobs),
         machines_(machines),
-        placement_(placement),
         demand_(demand),
         window_s_(policy.backlog_limit_s) {}
 
@@ -44,7 +41,6 @@
   Context* context_;
   JobTable* jobs_;
   MachineTable* machines_;
-  const Placement* placement_;
   const DemandEstimator* demand_;
   const double window_s_;
 };
--- a/src/core/autoscaling/headroom_planner.cc
+++ b/src/core/autoscaling/headroom_planner.cc
@@ -47,17 +47,17 @@
   return cheapest;
 }
 
-std::vector<Placement::Headroom> HeadroomPlanner::Needs() const {
-  std::vector<Placement::Headroom> needs = placement_->HeadroomNeeds();
+std::vector<Headroom> HeadroomPlanner::Needs() const {
+  std::vector<Headroom> needs = placement_->headroom().Needs();
   const MachineType* type = CheapestType();
   if (!type || !AwaitsUnseenClass()) return needs;
   // Its jobs may be of any size: each slot is a whole machine.
-  Placement::Headroom need;
+  Headroom need;
   need.slots = kUnseenClassHeadroomMachines;
-  need.usual.spec.shape = JobShape::kService;
-  need.usual.spec.priority = Priority::kProduction;
-  need.usual.spec.cpus = type->cpus;
-  need.usual.spec.spread = true;
+  need.profile.spec.shape = JobShape::kService;
+  need.profile.spec.priority = Priority::kProduction;
+  need.profile.spec.cpus = type->cpus;
+  need.profile.spec.spread = true;
   needs.push_back(need);
   return needs;
 }
@@ -72,7 +72,7 @@
     if (CountsAsCapacity(*machine) && machine->lifecycle.token_acknowledged)
       candidates.push_back(machine.get());
   }
-  const std::vector<Placement::Headroom> needs = Needs();
+  const std::vector<Headroom> needs = Needs();
   if (needs.empty()) return;
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Machine* a, const Machine* b) {
@@ -80,21 +80,20 @@
                        return a->role.for_services;
                      return PricePerCpu(*a) < PricePerCpu(*b);
                    });
-  for (const Placement::Headroom& need : needs) Reserve(need, candidates);
+  for (const Headroom& need : needs) Reserve(need, candidates);
 }
 
-void HeadroomPlanner::Reserve(const Placement::Headroom& need,
+void HeadroomPlanner::Reserve(const Headroom& need,
                               const std::vector<Machine*>& candidates) {
-  const double max_per_zone = need.OfAZone();
+  const double max_per_zone = need.SlotsPerZone();
   std::map<std::string, double> reserved;  // slots, by zone
   double left = need.slots;
   for (Machine* machine : candidates) {
     if (left < 1) break;
     // Excess machines hold headroom too. What is excess is chosen after this.
     machine->role.excess = false;
-    const double slots =
-        std::min({left, max_per_zone - reserved[machine->zone],
-                  Placement::HeadroomSlots(*machine, need.usual)});
+    const double slots = std::min({left, max_per_zone - reserved[machine->zone],
+                                   PreemptibleSlots(*machine, need.profile)});
     if (slots < 1) continue;
     reserved[machine->zone] += slots;
     left -= slots;
@@ -106,7 +105,7 @@
 // ----------------------------------------------
 
 void HeadroomPlanner::Plan(ScaleOutPlan* plan) {
-  for (Placement::Headroom& need : Needs()) {
+  for (Headroom& need : Needs()) {
     for (const auto& [id, job] : jobs_->all())
       if (job->spec().job_class == need.job_class && !job->failing())
         need.slots += job->progress.pending.size();
@@ -114,11 +113,10 @@
   }
 }
 
-void HeadroomPlanner::PlanNeed(const Placement::Headroom& need,
-                               ScaleOutPlan* plan) const {
+void HeadroomPlanner::PlanNeed(const Headroom& need, ScaleOutPlan* plan) const {
   ZoneSlots free = ExpectedSlots(need, *plan);
   while (free.Covered() < need.slots) {
-    const Offer* offer = CheapestOffer(need.usual, free);
+    const Offer* offer = CheapestOffer(need.profile, free);
     if (!offer) return;
     plan->AddMachine(*offer);
     AddEmptyMachines(need, *offer->type, offer->zone, offer->spot, 1, &free);
@@ -126,13 +124,12 @@
 }
 
 HeadroomPlanner::ZoneSlots HeadroomPlanner::ExpectedSlots(
-    const Placement::Headroom& need, const ScaleOutPlan& plan) const {
-  ZoneSlots free{need.OfAZone(), {}};
+    const Headroom& need, const ScaleOutPlan& plan) const {
+  ZoneSlots free{need.SlotsPerZone(), {}};
   for (const auto& [name, machine] : machines_->all()) {
     if (!CountsAsCapacity(*machine)) continue;
     if (machine->lifecycle.ever_reported)
-      free.slots[machine->zone] +=
-          Placement::HeadroomSlots(*machine, need.usual);
+      free.slots[machine->zone] += PreemptibleSlots(*machine, need.profile);
     else
       AddEmptyMachines(need, *machine->type, machine->zone, machine->spot,
                        ExpectedAvailability(*machine, context_->now), &free);
@@ -148,12 +145,12 @@
   return free;
 }
 
-void HeadroomPlanner::AddEmptyMachines(const Placement::Headroom& need,
+void HeadroomPlanner::AddEmptyMachines(const Headroom& need,
                                        const MachineType& type,
                                        const std::string& zone, bool spot,
                                        double machines, ZoneSlots* free) {
-  if (Placement::AllowsLocation(need.usual.spec, type, zone, spot))
-    free->slots[zone] += machines * Placement::SlotsOnType(type, need.usual);
+  if (AllowsLocation(need.profile.spec, type, zone, spot))
+    free->slots[zone] += machines * SlotsOnType(type, need.profile);
 }
 
 const Offer* HeadroomPlanner::CheapestOffer(const ClassProfile& usual,
@@ -161,9 +158,8 @@
   const Offer* best = nullptr;
   for (const Offer& offer : catalog_->offers()) {
     if (catalog_->IsSuspended(offer) || free.IsFull(offer.zone) ||
-        Placement::SlotsOnType(*offer.type, usual) < 1 ||
-        !Placement::AllowsLocation(usual.spec, *offer.type, offer.zone,
-                                   offer.spot))
+        SlotsOnType(*offer.type, usual) < 1 ||
+        !AllowsLocation(usual.spec, *offer.type, offer.zone, offer.spot))
       continue;
     if (!best || offer.PricePerCpu() < best->PricePerCpu()) best = &offer;
   }
--- a/src/core/autoscaling/headroom_planner.h
+++ b/src/core/autoscaling/headroom_planner.h
@@ -54,20 +54,19 @@
   };
 
   // Headroom for classes that have been seen, and for those that have not.
-  std::vector<Placement::Headroom> Needs() const;
+  std::vector<Headroom> Needs() const;
   // A class that is to start at once has had no job yet.
   bool AwaitsUnseenClass() const;
   const MachineType* CheapestType() const;
 
-  static void Reserve(const Placement::Headroom& need,
+  static void Reserve(const Headroom& need,
                       const std::vector<Machine*>& candidates);
-  void PlanNeed(const Placement::Headroom& need, ScaleOutPlan* plan) const;
-  ZoneSlots ExpectedSlots(const Placement::Headroom& need,
-                          const ScaleOutPlan& plan) const;
+  void PlanNeed(const Headroom& need, ScaleOutPlan* plan) const;
+  ZoneSlots ExpectedSlots(const Headroom& need, const ScaleOutPlan& plan) const;
   // Counts `machines` empty machines, if replicas may run there.
-  static void AddEmptyMachines(const Placement::Headroom& need,
-                               const MachineType& type, const std::string& zone,
-                               bool spot, double machines, ZoneSlots* free);
+  static void AddEmptyMachines(const Headroom& need, const MachineType& type,
+                               const std::string& zone, bool spot,
+                               double machines, ZoneSlots* free);
   // Null if no offer is suitable.
   const Offer* CheapestOffer(const ClassProfile& usual,
                              const ZoneSlots& free) const;
--- a/src/core/balance/bounded_placement.h
+++ b/src/core/balance/bounded_placement.h
@@ -6,7 +6,7 @@
 
 #include "core/balance/load_bounds.h"
 #include "core/model/spread_settings.h"
-#include "core/scheduling/placement.h"
+#include "core/scheduling/placement_spread.h"
 
 namespace sorrelwood {
 
--- a/src/core/balance/imbalance.cc
+++ b/src/core/balance/imbalance.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/scheduling/placement.h"
+#include "core/scheduling/eligibility.h"
 
 namespace sorrelwood {
 namespace {
@@ -46,7 +46,7 @@
     for (auto& [place, cpus] : *spare) {
       const auto& [type, zone, spot] = place;
       if (cpus < attempt.cpus ||
-          !Placement::AllowsLocation(attempt.record->spec, *type, zone, spot))
+          !AllowsLocation(attempt.record->spec, *type, zone, spot))
         continue;
       cpus -= attempt.cpus;
       movable += attempt.cpus;
--- a/src/core/balance/load_bounds.cc
+++ b/src/core/balance/load_bounds.cc
@@ -5,11 +5,6 @@
 #include "base/constants.h"
 
 namespace sorrelwood {
-namespace {
-
-constexpr double kRounding = 1e-6;
-
-}  // namespace
 
 double LoadBounds::PendingCpus(const Job& job, double now, double* left_cpus) {
   if (job.progress.pending.empty() || job.finishing) return 0;
@@ -58,10 +53,10 @@
   const JobSpec& spec = job.spec();
   const double of_team = machine.TeamCpus(spec.team);
   if (of_team > 0 &&
-      of_team + spec.cpus > OfTeam(spec.team, machine) + kRounding)
+      of_team + spec.cpus > OfTeam(spec.team, machine) + kResourceRounding)
     return false;
   return machine.cpus_used <= 0 ||
-         machine.cpus_used + spec.cpus <= OfAll(machine) + kRounding;
+         machine.cpus_used + spec.cpus <= OfAll(machine) + kResourceRounding;
 }
 
 }  // namespace sorrelwood
--- a/src/core/balance/machine_sets.cc
+++ b/src/core/balance/machine_sets.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "core/scheduling/placement.h"
+#include "core/scheduling/eligibility.h"
 
 namespace sorrelwood {
 
@@ -31,7 +31,7 @@
 MachineSets::Set MachineSets::AllowedFor(const JobSpec& spec) const {
   Set allowed;
   for (const auto& [place, machines] : by_place_)
-    if (Placement::AllowsLocation(spec, *place.type, place.zone, place.spot))
+    if (AllowsLocation(spec, *place.type, place.zone, place.spot))
       allowed |= machines;
   return allowed & all_;
 }
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -6,6 +6,7 @@
 
 #include "base/constants.h"
 #include "core/balance/image_affinity.h"
+#include "core/scheduling/task_stop.h"
 
 namespace sorrelwood {
 
@@ -46,7 +47,8 @@
   imbalance_ = imbalance.share;
   const bool may_even_out = MayMove();
   // While machines are unreconciled for, what is stopped might not start again.
-  if (!may_dispatch || placement_->unreconciled() > 0) return;
+  if (!may_dispatch || placement_->admission().unreconciled_machines() > 0)
+    return;
   CollectTargets();
   if (targets_.empty()) return;
   if (may_even_out) MoveOffCrowded(imbalance.crowded);
@@ -74,7 +76,8 @@
 void Rebalancer::CollectTargets() {
   targets_.Clear();
   for (auto& [name, machine] : machines_->all()) {
-    if (!LoadBounds::Counts(*machine) || !placement_->AcceptsTasks(*machine) ||
+    if (!LoadBounds::Counts(*machine) ||
+        !placement_->eligibility().AcceptsTasks(*machine) ||
         machine->cpus_free() <= 0 || speeds_.IsSlow(name) ||
         machine->cpus_used + machine->reserved_cpus >= bounds_.OfAll(*machine))
       continue;
@@ -132,7 +135,7 @@
   const double ran_s = context_->now - attempt.running_since;
   const bool loses_little = spec.IsService()
                                 ? attempt.stable && ran_s > kMinRunBeforeMoveS
-                                : placement_->IsPreemptible(attempt);
+                                : IsPreemptible(attempt, context_->now);
   if (!loses_little) return false;
   const Job* job = jobs_->Find(key.job);
   if (!job || job->finishing || job->failing()) return false;
@@ -145,8 +148,9 @@
 bool Rebalancer::CanTake(const Job& job, const Machine& target,
                          const Machine& from) const {
   if (&target == &from || target.role.excess ||
-      !placement_->AcceptsTasks(target) || !target.Fits(job.spec()) ||
-      !placement_->IsEligibleAfterLeaving(job, target, from) ||
+      !placement_->eligibility().AcceptsTasks(target) ||
+      !target.Fits(job.spec()) ||
+      !placement_->eligibility().IsEligibleAfterLeaving(job, target, from) ||
       !bounds_.Allow(job, target))
     return false;
   return target.HasImage(job.spec().image) ||
@@ -194,8 +198,7 @@
     job->speculation.ran_before_move_s[key.task] =
         attempt->ran_before_s + context_->now - attempt->running_since;
   ++begun_;
-  attempt->stop = true;
-  attempt->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
+  StopWithCheckpoint(attempt);
   context_->Info("moving task", {{"job", key.job},
                                  {"task", key.task},
                                  {"from", from->name},
@@ -237,11 +240,11 @@
   if (move == moves_.end()) return;
   Machine* to = machines_->Find(move->second.to);
   const bool place_is_good = to && !to->role.excess &&
-                             placement_->AcceptsTasks(*to) &&
-                             placement_->IsEligible(*job, *to);
+                             placement_->eligibility().AcceptsTasks(*to) &&
+                             placement_->eligibility().IsEligible(*job, *to);
   const bool may_start = job->progress.pending.Contains(task) &&
-                         placement_->MayStartTask(*job) &&
-                         placement_->WithinQuota(*job);
+                         placement_->admission().MayStartTask(*job) &&
+                         placement_->admission().WithinQuota(*job);
   if (!place_is_good || !may_start) {
     GiveUp(move,
            place_is_good ? MoveFailure::kNotNow : MoveFailure::kPlaceLost);
--- a/src/core/controller/scheduler_statistics.cc
+++ b/src/core/controller/scheduler_statistics.cc
@@ -12,7 +12,7 @@
   statistics.machines = machines_->all().size();
   for (const auto& [name, machine] : machines_->all())
     if (machine->role.baseline) ++statistics.base_machines;
-  statistics.unreconciled = placement_->unreconciled();
+  statistics.unreconciled = placement_->admission().unreconciled_machines();
   statistics.base_target_cpus = autoscaler_->baseline_target_cpus();
   statistics.predictor_error_s = waiting_->predictor().mean_error_s();
   statistics.predictor_matthews = waiting_->predictor().matthews();
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -4,17 +4,14 @@
 #include <cmath>
 
 #include "base/constants.h"
+#include "core/scheduling/task_stop.h"
 
 namespace sorrelwood {
-namespace {
-
-constexpr double kRounding = 1e-6;
-
-}  // namespace
 
 bool Preemption::Room::Fits(const JobSpec& spec) const {
-  return spec.cpus <= cpus + kRounding && spec.gpus <= gpus + kRounding &&
-         spec.memory_gb <= memory_gb + kRounding;
+  return spec.cpus <= cpus + kResourceRounding &&
+         spec.gpus <= gpus + kResourceRounding &&
+         spec.memory_gb <= memory_gb + kResourceRounding;
 }
 
 void Preemption::Room::Take(const JobSpec& spec) {
@@ -32,7 +29,8 @@
 std::vector<Preemption::Room> Preemption::Rooms() const {
   std::vector<Room> rooms;
   for (auto& [name, machine] : machines_->all()) {
-    if (!machine->type || !placement_->AcceptsTasks(*machine)) continue;
+    if (!machine->type || !placement_->eligibility().AcceptsTasks(*machine))
+      continue;
     Room room{machine.get(), machine->cpus_free(), machine->gpus_free(),
               machine->memory_free()};
     for (const auto& [key, attempt] : machine->attempts)
@@ -62,19 +60,13 @@
   return spec.cpus * (spec.checkpoint_s > 0 ? spec.save_s : ran);
 }
 
-void Preemption::Stop(TaskAttempt* attempt) {
-  const JobSpec& spec = attempt->record->spec;
-  attempt->stop = true;
-  attempt->stop_grace_s = spec.checkpoint_s > 0 ? spec.save_s + 1 : 0;
-}
-
 uint32_t Preemption::MakeRoomUnderLimit(const Job& job, uint32_t waiting) {
   const JobSpec& spec = job.spec();
   double limit = kNoLimit;
   for (const Team& team : settings_->teams)
     if (team.name == spec.team) limit = team.cpus_max;
   double left = limit - jobs_->UsageOf(spec.team).cpus;
-  if (waiting * spec.cpus <= left + kRounding) return waiting;
+  if (waiting * spec.cpus <= left + kResourceRounding) return waiting;
   std::vector<std::pair<double, TaskAttempt*>> candidates;
   for (auto& [name, machine] : machines_->all()) {
     for (auto& [key, attempt] : machine->attempts) {
@@ -88,11 +80,11 @@
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
   for (const auto& [lost_work, attempt] : candidates) {
-    if (waiting * spec.cpus <= left + kRounding) break;
-    Stop(attempt);
+    if (waiting * spec.cpus <= left + kResourceRounding) break;
+    StopWithCheckpoint(attempt);
     left += attempt->cpus;
   }
-  const double fit = std::floor(left / spec.cpus + kRounding);
+  const double fit = std::floor(left / spec.cpus + kResourceRounding);
   return static_cast<uint32_t>(std::clamp<double>(fit, 0, waiting));
 }
 
@@ -117,17 +109,17 @@
 
 void Preemption::MakeRoomFor(const Job& job, std::vector<Room>* rooms) {
   const JobSpec& spec = job.spec();
-  uint32_t waiting =
-      placement_->MayStartTask(job) ? job.RunnableTasks(context_->now) : 0;
+  uint32_t waiting = placement_->admission().MayStartTask(job)
+                         ? job.RunnableTasks(context_->now)
+                         : 0;
   if (spec.cpus > 0) waiting = MakeRoomUnderLimit(job, waiting);
   if (waiting == 0) return;
   // Those that were stopped for the limit are room by now.
   if (rooms->empty()) *rooms = Rooms();
   std::map<std::string, uint32_t> planned;  // by zone
   const auto allowed = [&](const Room& room) {
-    return placement_->IsEligible(job, *room.machine) &&
-           placement_->SpreadAllows(job, room.machine->zone,
-                                    planned[room.machine->zone]);
+    return placement_->eligibility().IsEligible(job, *room.machine) &&
+           SpreadAllows(job, room.machine->zone, planned[room.machine->zone]);
   };
   for (uint32_t i = 0; i < waiting; ++i) {
     Room* best = nullptr;
@@ -148,7 +140,7 @@
     }
     if (!best) return;
     for (TaskAttempt* attempt : least.attempts) {
-      Stop(attempt);
+      StopWithCheckpoint(attempt);
       best->Give(*attempt);
     }
     best->Take(spec);
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -54,7 +54,6 @@
   static bool MayStopFor(const Job& job, const TaskAttempt& attempt);
   // The core-seconds of work that stopping it costs.
   double LostWork(const TaskAttempt& attempt) const;
-  static void Stop(TaskAttempt* attempt);
 
   Context* context_;
   JobTable* jobs_;
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -36,13 +36,15 @@
 
 bool ReplicaManager::HasPlaceElsewhere(const Job& job,
                                        const Machine& machine) const {
-  return std::any_of(
-      machines_->all().begin(), machines_->all().end(), [&](const auto& item) {
-        const Machine& other = *item.second;
-        return &other != &machine && placement_->AcceptsTasks(other) &&
-               other.Fits(job.spec()) &&
-               placement_->IsEligibleAfterLeaving(job, other, machine);
-      });
+  return std::any_of(machines_->all().begin(), machines_->all().end(),
+                     [&](const auto& item) {
+                       const Machine& other = *item.second;
+                       return &other != &machine &&
+                              placement_->eligibility().AcceptsTasks(other) &&
+                              other.Fits(job.spec()) &&
+                              placement_->eligibility().IsEligibleAfterLeaving(
+                                  job, other, machine);
+                     });
 }
 
 void ReplicaManager::LeaveDepartingMachines() {
--- a/src/core/workers/command_selector.cc
+++ b/src/core/workers/command_selector.cc
@@ -9,7 +9,8 @@
     if (const std::optional<Command> command = ForReported(*machine, task))
       commands.push_back(*command);
   // Guards against starts by a leader that may have been replaced.
-  if (election_->MayDispatch() && placement_->AcceptsTasks(*machine))
+  if (election_->MayDispatch() &&
+      placement_->eligibility().AcceptsTasks(*machine))
     AddStarts(machine, heartbeat, &commands);
   else
     attempts_->RemovePlanned(machine);
--- a/src/core/workers/unreconciled_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -57,7 +57,7 @@
 }
 
 void UnreconciledMachines::ReserveIn(Placement* placement) const {
-  placement->set_unreconciled(from_earlier_term_, cpus_, gpus_);
+  placement->admission().set_unreconciled(from_earlier_term_, cpus_, gpus_);
 }
 
 }  // namespace sorrelwood
