--- a/src/config/cluster_settings.cc
+++ b/src/config/cluster_settings.cc
@@ -70,7 +70,8 @@
 // 0, or a field that is missing, means no limit.
 double ReadLimit(const JsonSection& team, const char* name) {
   const double limit = team.OptionalNumber(name, kCount, 0);
-  return limit > 0 ? limit : kNoLimit;
+  if (limit <= 0) return kNoLimit;
+  return limit;
 }
 
 void ReadTeams(const JsonSection& cluster, ClusterSettings* settings) {
--- a/src/http/poller.cc
+++ b/src/http/poller.cc
@@ -3,6 +3,7 @@
 #include <sys/epoll.h>
 #include <sys/eventfd.h>
 
+#include <algorithm>
 #include <array>
 
 #include "base/constants.h"
@@ -25,6 +26,7 @@
       epoll_wait(epoll_.get(), events.data(), kMaxPollEvents,
                  static_cast<int>(timeout_s * kMillisecondsPerSecond));
   std::vector<int> sockets;
+  sockets.reserve(static_cast<size_t>(std::max(0, count)));
   for (int i = 0; i < count; ++i)
     sockets.push_back(events[static_cast<size_t>(i)].data.fd);
   return sockets;
--- a/src/main.cc
+++ b/src/main.cc
@@ -14,7 +14,7 @@
 #include "base/constants.h"
 #include "config/cluster_settings.h"
 #include "config/operator_settings.h"
-#include "server/app.h"
+#include "server/controller_server.h"
 #include "version.h"
 
 namespace sorrelwood {
@@ -105,8 +105,8 @@
     spdlog::error("LOG_LEVEL must be error, info or debug: it is info now");
   for (const std::string& ignored : settings->ignored_objectives)
     spdlog::error("left out of the settings: {}", ignored);
-  App app(*settings, *policy, NewIncarnation());
-  return app.Run() ? kExitOk : kExitCannotListen;
+  ControllerServer server(*settings, *policy, NewIncarnation());
+  return server.Run() ? kExitOk : kExitCannotListen;
 }
 
 }  // namespace
--- /dev/null
+++ b/src/server/cloud_request_workers.cc
@@ -0,0 +1,65 @@
+#include "server/cloud_request_workers.h"
+
+#include <utility>
+
+#include "base/constants.h"
+#include "cloud/cloud_client.h"
+#include "concurrency/threads.h"
+
+namespace sorrelwood {
+namespace {
+
+// Sends one request and waits for its result.
+class Sender {
+ public:
+  explicit Sender(CloudClient* client) : client_(client) {}
+
+  CloudResult operator()(const FetchCatalog& fetch) {
+    return client_->Catalog(fetch);
+  }
+  CloudResult operator()(const ListCloudMachines& list) {
+    return client_->List(list);
+  }
+  CloudResult operator()(const ProvisionMachines& provision) {
+    return client_->Rent(provision);
+  }
+  CloudResult operator()(const ReleaseMachines& release) {
+    return client_->Release(release);
+  }
+
+ private:
+  CloudClient* client_;
+};
+
+}  // namespace
+
+void CloudRequestWorkers::Start() {
+  StartThreads("cloud-list", 1, &reads_);
+  StartThreads("cloud", kCloudChangeThreads, &changes_);
+}
+
+void CloudRequestWorkers::Send(CloudRequest request) {
+  const bool reads = std::holds_alternative<FetchCatalog>(request) ||
+                     std::holds_alternative<ListCloudMachines>(request);
+  (reads ? reads_ : changes_).Push(std::move(request));
+}
+
+void CloudRequestWorkers::StartThreads(const char* name, int count,
+                                       Queue* queue) {
+  for (int i = 0; i < count; ++i) {
+    StartThread(name, [this, queue] {
+      CloudClient client(address_, kCloudTimeoutS);
+      for (;;) {
+        const CloudRequest request = queue->Pop();
+        inputs_->Push(
+            [result = std::visit(Sender(&client), request)](
+                Controller& controller, Controller::Time time) {
+              return controller.Deliver(time, result);
+            },
+            InputPriority::kSystem);
+      }
+    });
+  }
+}
+
+}  // namespace sorrelwood
--- /dev/null
+++ b/src/server/controller_server.cc
@@ -0,0 +1,167 @@
+#include "server/controller_server.h"
+
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+#include <utility>
+
+#include "base/constants.h"
+#include "concurrency/clocks.h"
+#include "concurrency/threads.h"
+#include "config/capacity.h"
+#include "protocol/worker_codec.h"
+
+namespace sorrelwood {
+namespace {
+
+size_t InputQueueLimit(const ClusterSettings& settings) {
+  return std::max(kMinInputQueueLimit,
+                  MaxWorkerConnections(settings) / kWorkersPerQueuedInput);
+}
+
+size_t PushThreads(const ClusterSettings& settings) {
+  return std::clamp(MaxWorkerConnections(settings) / kWorkersPerPushThread,
+                    kMinPushThreads, kMaxPushThreads);
+}
+
+Endpoint ListenEndpoint(const ClusterSettings& settings) {
+  Endpoint endpoint;
+  ParseEndpoint(settings.listen_address, &endpoint);
+  return endpoint;
+}
+
+ConnectionLimits LimitsOf(const ClusterSettings& settings) {
+  ConnectionLimits limits;
+  limits.total = MaxConnections(settings);
+  limits.workers = MaxWorkerConnections(settings);
+  limits.users = static_cast<size_t>(static_cast<double>(limits.total) *
+                                     kUserConnectionShare);
+  limits.worker_idle_s = settings.worker_lease_s;
+  limits.worker_stale_s = kSilentHeartbeats * settings.heartbeat_interval_s;
+  limits.threads = MaxRequestThreads(settings);
+  return limits;
+}
+
+void LogLimits(const ClusterSettings& settings) {
+  const ConnectionLimits limits = LimitsOf(settings);
+  spdlog::info(
+      "up to {} connections: {} workers, {} users; {} requests at once",
+      limits.total, limits.workers, limits.users, limits.threads);
+  spdlog::info("{}", DescribeCapacity(settings));
+}
+
+spdlog::level::level_enum ConvertLevel(LogLevel level) {
+  switch (level) {
+    case LogLevel::kDebug: return spdlog::level::debug;
+    case LogLevel::kInfo: return spdlog::level::info;
+    case LogLevel::kError: return spdlog::level::err;
+  }
+  return spdlog::level::info;
+}
+
+}  // namespace
+
+ControllerServer::ControllerServer(const ClusterSettings& settings,
+                                   const PolicySettings& policy,
+                                   uint64_t incarnation)
+    : settings_(settings),
+      controller_(settings, policy, incarnation),
+      inputs_(InputQueueLimit(settings)),
+      routes_(&inputs_, &responses_, &metrics_),
+      state_(settings.state_address, &inputs_),
+      cloud_(settings.cloud_address, &inputs_),
+      pushes_(&inputs_),
+      http_server_(ListenEndpoint(settings), LimitsOf(settings), ClassifyClient,
+                   [this](const HttpRequest& request) {
+                     return routes_.Handle(request);
+                   }),
+      peer_listener_(settings.peer_listen_address, [this](PeerStatus status) {
+        inputs_.Push(
+            [status = std::move(status)](Controller& controller,
+                                         Controller::Time time) {
+              return controller.OnPeerStatus(time, status);
+            },
+            InputPriority::kSystem);
+      }) {
+  for (const Peer& peer : settings.peers)
+    peer_senders_.push_back(std::make_unique<PeerSender>(peer.address));
+}
+
+bool ControllerServer::Run() {
+  LogLimits(settings_);
+  if (!Bind()) return false;
+  controller_.set_debug(spdlog::should_log(spdlog::level::debug));
+  StartThreads();
+  spdlog::info("{} in {} serves on {}", settings_.node, settings_.zone,
+               settings_.listen_address);
+  http_server_.Serve();
+  return true;
+}
+
+bool ControllerServer::Bind() {
+  if (!http_server_.Bind()) {
+    spdlog::error("can't listen on {}", settings_.listen_address);
+    return false;
+  }
+  if (!peer_listener_.Bind()) {
+    spdlog::error("can't listen on {}", settings_.peer_listen_address);
+    return false;
+  }
+  return true;
+}
+
+void ControllerServer::StartThreads() {
+  state_.Start();
+  cloud_.Start();
+  pushes_.Start(PushThreads(settings_));
+  StartThread("peer-accept", [this] { peer_listener_.Run(); });
+  for (auto& sender : peer_senders_)
+    StartThread("peer-send", [&sender = *sender] { sender.Run(); });
+  StartThread("core", [this] { RunCore(); });
+}
+
+void ControllerServer::RunCore() {
+  double next_tick = 0;
+  double next_metrics = 0;
+  for (;;) {
+    const Input input = inputs_.Pop(/*deadline=*/next_tick);
+    const Controller::Time time{SteadyNow(), WallNow()};
+    if (input) Dispatch(input(controller_, time));
+    if (time.steady >= next_tick) {
+      next_tick = time.steady + kTickIntervalS;
+      Dispatch(controller_.Tick(time));
+      routes_.set_healthy(controller_.Healthy());
+    }
+    if (time.steady >= next_metrics) {
+      next_metrics = time.steady + kMetricsIntervalS;
+      metrics_.Publish(controller_.CollectStatistics());
+    }
+  }
+}
+
+void ControllerServer::Dispatch(Actions actions) {
+  for (Action& action : actions)
+    std::visit([this](auto& item) { Execute(std::move(item)); }, action);
+}
+
+void ControllerServer::Execute(ClientResponse action) {
+  responses_.Complete(action.request, {action.status, std::move(action.body),
+                                       action.retry_after_s});
+}
+
+void ControllerServer::Execute(const HeartbeatResponse& action) {
+  responses_.Complete(
+      action.request,
+      {action.status, protocol::EncodeHeartbeatResponse(action), 0});
+}
+
+void ControllerServer::Execute(const SendPeerStatus& action) {
+  for (auto& sender : peer_senders_) sender->Post(action.note);
+}
+
+void ControllerServer::Execute(const LogEvent& event) {
+  const spdlog::level::level_enum level = ConvertLevel(event.level);
+  if (spdlog::should_log(level)) spdlog::log(level, FormatLogEvent(event));
+}
+
+}  // namespace sorrelwood
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -27,45 +27,69 @@
   durations_.Add({{"kind", kind}}, kBuckets).Observe(seconds);
 }
 
-prometheus::Gauge& Metrics::Value(const char* name) {
-  return gauges_.Add({{"of", name}});
+template <typename Number>
+void Metrics::Set(const char* name, Number value) {
+  gauges_.Add({{"of", name}}).Set(static_cast<double>(value));
 }
 
-void Metrics::Publish(const Controller::Statistics& f) {
-  Value("leading").Set(f.leading);
-  Value("may_launch").Set(f.may_dispatch);
-  Value("may_answer_workers").Set(f.may_renew_worker_leases);
-  Value("term").Set(static_cast<double>(f.term));
-  const SchedulerStatistics& s = f.scheduler;
-  Value("jobs").Set(static_cast<double>(s.jobs));
-  Value("tasks_pending").Set(static_cast<double>(s.pending));
-  Value("tasks_placed").Set(static_cast<double>(s.placed));
-  Value("machines").Set(static_cast<double>(s.machines));
-  Value("machines_base").Set(static_cast<double>(s.base_machines));
-  Value("machines_unaccounted").Set(s.unreconciled);
-  Value("base_target_cpus").Set(s.base_target_cpus);
-  Value("predictor_samples").Set(static_cast<double>(s.predictor_samples));
-  Value("predictor_error_seconds").Set(s.predictor_error_s);
-  Value("predictor_matthews").Set(s.predictor_matthews);
-  Value("speculative_kills").Set(static_cast<double>(s.speculative_kills));
-  Value("replicas_wanted").Set(static_cast<double>(s.replicas.wanted));
-  Value("replicas_running").Set(static_cast<double>(s.replicas.running));
-  Value("replicas_restarted").Set(static_cast<double>(s.replicas.restarted));
-  Value("replica_seconds_without").Set(s.replicas.without_s);
-  Value("spread_imbalance").Set(s.spread.imbalance);
-  Value("moves_under_way").Set(static_cast<double>(s.spread.under_way));
-  Value("moves_begun").Set(static_cast<double>(s.spread.begun));
-  Value("moves_finished").Set(static_cast<double>(s.spread.finished));
+void Metrics::Publish(const Controller::Statistics& statistics) {
+  PublishLeadership(statistics);
+  PublishWork(statistics.scheduler);
+  PublishMachines(statistics.scheduler);
+  PublishPredictor(statistics.scheduler);
+  PublishReplicas(statistics.scheduler);
+  PublishLoadSpread(statistics.scheduler);
+}
+
+void Metrics::PublishLeadership(const Controller::Statistics& statistics) {
+  Set("leading", statistics.leading);
+  Set("may_launch", statistics.may_dispatch);
+  Set("may_answer_workers", statistics.may_renew_worker_leases);
+  Set("term", statistics.term);
+}
+
+void Metrics::PublishWork(const SchedulerStatistics& statistics) {
+  Set("jobs", statistics.jobs);
+  Set("tasks_pending", statistics.pending);
+  Set("tasks_placed", statistics.placed);
+  Set("speculative_kills", statistics.speculative_kills);
+}
+
+void Metrics::PublishMachines(const SchedulerStatistics& statistics) {
+  Set("machines", statistics.machines);
+  Set("machines_base", statistics.base_machines);
+  Set("machines_unaccounted", statistics.unreconciled);
+  Set("base_target_cpus", statistics.base_target_cpus);
+  Set("rented_to_the_end", statistics.rented_to_end);
+}
+
+void Metrics::PublishPredictor(const SchedulerStatistics& statistics) {
+  Set("predictor_samples", statistics.predictor_samples);
+  Set("predictor_error_seconds", statistics.predictor_error_s);
+  Set("predictor_matthews", statistics.predictor_matthews);
+}
+
+void Metrics::PublishReplicas(const SchedulerStatistics& statistics) {
+  Set("replicas_wanted", statistics.replicas.wanted);
+  Set("replicas_running", statistics.replicas.running);
+  Set("replicas_restarted", statistics.replicas.restarted);
+  Set("replica_seconds_without", statistics.replicas.without_s);
+}
+
+void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
+  Set("spread_imbalance", statistics.spread.imbalance);
+  Set("moves_under_way", statistics.spread.under_way);
+  Set("moves_begun", statistics.spread.begun);
+  Set("moves_finished", statistics.spread.finished);
   for (const MoveFailure failure :
        {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kPlaceLost,
         MoveFailure::kNotNow}) {
-    const auto count = s.spread.given_up.find(failure);
+    const auto count = statistics.spread.given_up.find(failure);
     gauges_.Add({{"of", "moves_given_up"}, {"why", ToString(failure)}})
-        .Set(count == s.spread.given_up.end()
+        .Set(count == statistics.spread.given_up.end()
                  ? 0
                  : static_cast<double>(count->second));
   }
-  Value("rented_to_the_end").Set(static_cast<double>(s.rented_to_end));
 }
 
 std::string Metrics::Text() const {
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -1,4 +1,5 @@
-// What operators can read at /metrics.
+// What operators can read at /metrics, in the Prometheus text format. The names
+// are listed in docs/operations.md.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -6,28 +7,38 @@
 #include <prometheus/histogram.h>
 #include <prometheus/registry.h>
 
-#include <map>
-#include <mutex>
 #include <string>
 
 #include "core/controller/controller.h"
 
 namespace sorrelwood {
 
+// May be used by several threads at once.
 class Metrics {
  public:
   Metrics();
 
+  // Counts a request that was answered; `kind` is "worker" or "user".
   void CountRequest(const std::string& kind, int status, double seconds);
+  // Replaces the values of the controller's state.
   void Publish(const Controller::Statistics& statistics);
+  // All metrics as text.
   std::string Text() const;
 
  private:
+  void PublishLeadership(const Controller::Statistics& statistics);
+  void PublishWork(const SchedulerStatistics& statistics);
+  void PublishMachines(const SchedulerStatistics& statistics);
+  void PublishPredictor(const SchedulerStatistics& statistics);
+  void PublishReplicas(const SchedulerStatistics& statistics);
+  void PublishLoadSpread(const SchedulerStatistics& statistics);
+  template <typename Number>
+  void Set(const char* name, Number value);
+
   prometheus::Registry registry_;
   prometheus::Family<prometheus::Counter>& requests_;
   prometheus::Family<prometheus::Histogram>& durations_;
   prometheus::Family<prometheus::Gauge>& gauges_;
-  prometheus::Gauge& Value(const char* name);
 };
 
 }  // namespace sorrelwood
--- /dev/null
+++ b/src/server/pending_responses.cc
@@ -0,0 +1,36 @@
+#include "server/pending_responses.h"
+
+#include <chrono>
+#include <utility>
+
+namespace sorrelwood {
+
+uint64_t PendingResponses::Open() {
+  std::lock_guard lock(mutex_);
+  const uint64_t request = next_request_++;
+  pending_.try_emplace(request);
+  return request;
+}
+
+std::optional<CoreResponse> PendingResponses::Wait(uint64_t request,
+                                                   double timeout_s) {
+  std::unique_lock lock(mutex_);
+  const auto found = pending_.find(request);
+  if (found == pending_.end()) return std::nullopt;
+  Pending& pending = found->second;
+  pending.completed.wait_for(lock, std::chrono::duration<double>(timeout_s),
+                             [&] { return pending.response.has_value(); });
+  std::optional<CoreResponse> response = std::move(pending.response);
+  pending_.erase(found);
+  return response;
+}
+
+void PendingResponses::Complete(uint64_t request, CoreResponse response) {
+  std::lock_guard lock(mutex_);
+  const auto found = pending_.find(request);
+  if (found == pending_.end()) return;
+  found->second.response = std::move(response);
+  found->second.completed.notify_one();
+}
+
+}  // namespace sorrelwood
