--- a/src/protocol/cloud_codec.cc
+++ b/src/protocol/cloud_codec.cc
@@ -48,6 +48,13 @@
 
 }  // namespace
 
+std::string MachinePageTarget(const std::string& after, size_t limit) {
+  std::string target = std::string(path::kMachines) + "?" + query::kLimit +
+                       "=" + std::to_string(limit);
+  if (!after.empty()) target += std::string("&") + query::kAfter + "=" + after;
+  return target;
+}
+
 std::string EncodeProvisionRequest(const ProvisioningRecord& request) {
   return WriteJson({{field::kProvisioningName, request.name},
                     {field::kMachineType, request.type},
--- a/src/protocol/cloud_codec.h
+++ b/src/protocol/cloud_codec.h
@@ -3,6 +3,7 @@
 // the inventory (GET /hosts).
 #pragma once
 
+#include <cstddef>
 #include <string>
 #include <vector>
 
@@ -18,6 +19,11 @@
   bool has_more = false;                // further pages follow
 };
 
+// Returns the target of a request for one page of the inventory: at most
+// `limit` machines, from the first whose name is after `after`, or from the
+// beginning if that is empty.
+std::string MachinePageTarget(const std::string& after, size_t limit);
+
 // Returns the body of a request for new machines.
 std::string EncodeProvisionRequest(const ProvisioningRecord& request);
 
--- a/src/protocol/state_service_codec.cc
+++ b/src/protocol/state_service_codec.cc
@@ -1,5 +1,6 @@
 #include "protocol/state_service_codec.h"
 
+#include <cmath>
 #include <utility>
 
 #include "protocol/field_names.h"
@@ -10,6 +11,10 @@
 
 constexpr double kMsPerS = 1000;
 
+std::string Parameter(const char* name, const std::string& value) {
+  return std::string(name) + "=" + value;
+}
+
 Json WritePreconditions(const std::vector<Precondition>& preconditions) {
   Json list = Json::array();
   for (const Precondition& precondition : preconditions)
@@ -53,6 +58,32 @@
 
 }  // namespace
 
+std::string KeyTarget(const std::string& key) {
+  return std::string(path::kKeys) + "/" + key;
+}
+
+std::string ItemPageTarget(const std::string& prefix, const std::string& after,
+                           int limit) {
+  std::string target = std::string(path::kKeys) + "?" +
+                       Parameter(query::kPrefix, prefix) + "&" +
+                       Parameter(query::kLimit, std::to_string(limit));
+  if (!after.empty()) target += "&" + Parameter(query::kAfter, after);
+  return target;
+}
+
+std::string WatchTarget(const std::string& prefix, uint64_t after,
+                        double wait_s) {
+  const auto wait_ms = std::lround(wait_s * kMsPerS);
+  return std::string(path::kWatch) + "?" + Parameter(query::kPrefix, prefix) +
+         "&" + Parameter(query::kAfter, std::to_string(after)) + "&" +
+         Parameter(query::kWaitMs, std::to_string(wait_ms));
+}
+
+std::string RenewLeaseTarget(uint64_t lease) {
+  return std::string(path::kLeases) + "/" + std::to_string(lease) +
+         path::kRenew;
+}
+
 std::string EncodeTransaction(const StateTransaction& transaction) {
   Json object = {
       {field::kPreconditions, WritePreconditions(transaction.preconditions)}};
--- a/src/protocol/state_service_codec.h
+++ b/src/protocol/state_service_codec.h
@@ -31,6 +31,23 @@
   std::vector<KeyValue> changes;
 };
 
+// Returns the target of a read of one key.
+std::string KeyTarget(const std::string& key);
+
+// Returns the target of a request for one page of a listing: at most `limit`
+// keys with the prefix, from the first after `after`, or from the beginning if
+// that is empty.
+std::string ItemPageTarget(const std::string& prefix, const std::string& after,
+                           int limit);
+
+// Returns the target of a watch that ends with the first change of a key with
+// the prefix after revision `after`, or after `wait_s` seconds.
+std::string WatchTarget(const std::string& prefix, uint64_t after,
+                        double wait_s);
+
+// Returns the target of a lease's renewal.
+std::string RenewLeaseTarget(uint64_t lease);
+
 // Returns the body of a transaction. Without mutations it only compares.
 std::string EncodeTransaction(const StateTransaction& transaction);
 
--- a/src/protocol/worker_codec.cc
+++ b/src/protocol/worker_codec.cc
@@ -8,12 +8,11 @@
 #include "protocol/field_names.h"
 #include "protocol/identifiers.h"
 #include "protocol/json_reader.h"
+#include "protocol/status_codes.h"
 
 namespace sorrelwood::protocol {
 namespace {
 
-constexpr int kStatusOk = 200;
-constexpr int kStatusMisdirected = 421;
 // Bounds a notice that is long over.
 constexpr double kMinPreemptionNoticeS = -1e9;
 
@@ -100,10 +99,10 @@
 }
 
 std::string EncodeHeartbeatResponse(const HeartbeatResponse& response) {
-  if (response.status == kStatusOk)
+  if (response.status == status::kOk)
     return WriteJson({{field::kFencingToken, response.fencing_token},
                       {field::kCommands, WriteCommands(response.commands)}});
-  if (response.status == kStatusMisdirected) {
+  if (response.status == status::kMisdirectedRequest) {
     if (response.redirect.empty()) return "{}";
     return WriteJson({{field::kRedirect, response.redirect}});
   }
--- a/src/server/cloud_request_workers.cc
+++ b/src/server/cloud_request_workers.cc
@@ -15,13 +15,13 @@
   explicit Sender(CloudClient* client) : client_(client) {}
 
   CloudResult operator()(const FetchCatalog& fetch) {
-    return client_->Catalog(fetch);
+    return client_->GetCatalog(fetch);
   }
   CloudResult operator()(const ListCloudMachines& list) {
-    return client_->List(list);
+    return client_->ListMachines(list);
   }
   CloudResult operator()(const ProvisionMachines& provision) {
-    return client_->Rent(provision);
+    return client_->Provision(provision);
   }
   CloudResult operator()(const ReleaseMachines& release) {
     return client_->Release(release);
--- a/src/state/state_client.cc
+++ b/src/state/state_client.cc
@@ -1,36 +1,45 @@
 #include "state/state_client.h"
 
 #include <algorithm>
-#include <cmath>
 #include <iterator>
 #include <utility>
 
 #include "base/constants.h"
 #include "protocol/field_names.h"
 #include "protocol/state_service_codec.h"
+#include "protocol/status_codes.h"
 
 namespace sorrelwood {
 namespace {
 
-// What an answer says about a request that changes something.
-Outcome OutcomeOf(const HttpAnswer& answer) {
-  if (answer.status == 200) return Outcome::kOk;
-  if (answer.status == 409 || answer.status == 404) return Outcome::kConflict;
-  // 429, 503 and 400 are answers of the service that it did nothing.
-  if (answer.status == 429 || answer.status == 503 || answer.status == 400 ||
-      answer.not_sent)
-    return Outcome::kRefused;
-  return Outcome::kUnknown;
+namespace path = protocol::path;
+namespace status = protocol::status;
+
+// Tells whether the service has carried out a request.
+Outcome OutcomeOfAnswer(const HttpAnswer& answer) {
+  switch (answer.status) {
+    case status::kOk: return Outcome::kOk;
+    case status::kConflict:
+    case status::kNotFound: return Outcome::kConflict;
+    case status::kTooManyRequests:
+    case status::kServiceUnavailable:
+    case status::kBadRequest: return Outcome::kRefused;
+    default: return answer.not_sent ? Outcome::kRefused : Outcome::kUnknown;
+  }
 }
 
-// A lease that has ended gets 400 as well; it is no matter of size.
-StateRefusal RefusalOf(const StateTransaction& transaction, int status) {
-  const bool leased =
+// Tells which limit of the service a refused transaction is over. A lease that
+// has ended gets the same status as a transaction that is too large, so one
+// with a lease is over none.
+StateRefusal RefusalOfTransaction(const StateTransaction& transaction,
+                                  int status_code) {
+  const bool has_lease =
       std::any_of(transaction.mutations.begin(), transaction.mutations.end(),
-                  [](const Mutation& op) { return op.lease != 0; });
-  if (transaction.mutations.empty() || leased) return StateRefusal::kNone;
-  if (status == 400) return StateRefusal::kTooLarge;
-  if (status == 429) return StateRefusal::kTooManyChanges;
+                  [](const Mutation& mutation) { return mutation.lease != 0; });
+  if (transaction.mutations.empty() || has_lease) return StateRefusal::kNone;
+  if (status_code == status::kBadRequest) return StateRefusal::kTooLarge;
+  if (status_code == status::kTooManyRequests)
+    return StateRefusal::kTooManyChanges;
   return StateRefusal::kNone;
 }
 
@@ -42,11 +51,12 @@
 StateResult StateClient::Transact(const StateTransaction& transaction) {
   StateResult result;
   result.id = transaction.id;
-  const HttpAnswer answer = http_.Post(
-      protocol::path::kTransaction, protocol::EncodeTransaction(transaction));
-  result.outcome = OutcomeOf(answer);
-  result.refusal = RefusalOf(transaction, answer.status);
-  if (answer.status == 404) result.outcome = Outcome::kRefused;
+  const HttpAnswer answer =
+      http_.Post(path::kTransaction, protocol::EncodeTransaction(transaction));
+  result.outcome = OutcomeOfAnswer(answer);
+  result.refusal = RefusalOfTransaction(transaction, answer.status);
+  // No key is asked for that might not be found.
+  if (answer.status == status::kNotFound) result.outcome = Outcome::kRefused;
   if (result.outcome != Outcome::kOk && result.outcome != Outcome::kConflict)
     return result;
   auto transacted = protocol::ParseTransactionAnswer(answer.body);
@@ -62,9 +72,8 @@
 StateResult StateClient::Get(const StateGet& get) {
   StateResult result;
   result.id = get.id;
-  const HttpAnswer answer =
-      http_.Get(std::string(protocol::path::kKeys) + "/" + get.key);
-  result.outcome = OutcomeOf(answer);
+  const HttpAnswer answer = http_.Get(protocol::KeyTarget(get.key));
+  result.outcome = OutcomeOfAnswer(answer);
   if (result.outcome != Outcome::kOk) return result;
   if (auto item = protocol::ParseItem(answer.body))
     result.items.push_back(std::move(*item));
@@ -78,15 +87,10 @@
   result.id = list.id;
   std::string after;
   uint64_t first_revision = 0;
-  for (bool more = true; more;) {
-    std::string path = std::string(protocol::path::kKeys) + "?" +
-                       protocol::query::kPrefix + "=" + list.prefix + "&" +
-                       protocol::query::kLimit + "=" +
-                       std::to_string(kListPage);
-    if (!after.empty())
-      path += std::string("&") + protocol::query::kAfter + "=" + after;
-    const HttpAnswer answer = http_.Get(path);
-    result.outcome = OutcomeOf(answer);
+  for (bool has_more = true; has_more;) {
+    const HttpAnswer answer =
+        http_.Get(protocol::ItemPageTarget(list.prefix, after, kListPage));
+    result.outcome = OutcomeOfAnswer(answer);
     if (result.outcome != Outcome::kOk) return result;
     auto page = protocol::ParseItemPage(answer.body);
     if (!page) {
@@ -98,7 +102,7 @@
     std::move(page->items.begin(), page->items.end(),
               std::back_inserter(result.items));
     after = result.items.back().key;
-    more = page->has_more;
+    has_more = page->has_more;
   }
   // The pages may be of different moments: only the first is safe to watch
   // from.
@@ -109,17 +113,14 @@
 StateResult StateClient::Watch(const StateWatch& watch) {
   StateResult result;
   result.id = watch.id;
-  const HttpAnswer answer = http_.Get(
-      std::string(protocol::path::kWatch) + "?" + protocol::query::kPrefix +
-      "=" + watch.prefix + "&" + protocol::query::kAfter + "=" +
-      std::to_string(watch.after) + "&" + protocol::query::kWaitMs + "=" +
-      std::to_string(std::lround(kWatchS * 1000)));
-  result.outcome = OutcomeOf(answer);
-  if (answer.status == 410) {
+  const HttpAnswer answer =
+      http_.Get(protocol::WatchTarget(watch.prefix, watch.after, kWatchS));
+  if (answer.status == status::kGone) {
     result.outcome = Outcome::kOk;
     result.too_old = true;
     return result;
   }
+  result.outcome = OutcomeOfAnswer(answer);
   if (result.outcome != Outcome::kOk) return result;
   auto watched = protocol::ParseWatchAnswer(answer.body);
   if (!watched) {
@@ -134,9 +135,9 @@
 StateResult StateClient::CreateLease(const LeaseCreate& create) {
   StateResult result;
   result.id = create.id;
-  const HttpAnswer answer = http_.Post(
-      protocol::path::kLeases, protocol::EncodeLeaseRequest(create.ttl_s));
-  result.outcome = OutcomeOf(answer);
+  const HttpAnswer answer =
+      http_.Post(path::kLeases, protocol::EncodeLeaseRequest(create.ttl_s));
+  result.outcome = OutcomeOfAnswer(answer);
   if (result.outcome != Outcome::kOk) return result;
   if (const auto lease = protocol::ParseLease(answer.body))
     result.lease = *lease;
@@ -149,10 +150,8 @@
   StateResult result;
   result.id = renew.id;
   const HttpAnswer answer =
-      http_.Post(std::string(protocol::path::kLeases) + "/" +
-                     std::to_string(renew.lease) + protocol::path::kRenew,
-                 "{}");
-  result.outcome = OutcomeOf(answer);
+      http_.Post(protocol::RenewLeaseTarget(renew.lease), "{}");
+  result.outcome = OutcomeOfAnswer(answer);
   return result;
 }
 
--- a/tests/adapter_test.cc
+++ b/tests/adapter_test.cc
@@ -1,4 +1,4 @@
-// The HTTP adapters on loopback.
+// The HTTP server and the clients built on it, over loopback.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -78,7 +78,7 @@
   return {200, request.method + " " + request.path + " " + request.body};
 }
 
-TEST(Server, KeepsAConnectionForManyRequests) {
+TEST(HttpServer, KeepsAConnectionForManyRequests) {
   LocalServer server(Echo);
   HttpClient client(server.address(), 2);
   for (int i = 0; i < 20; ++i) {
@@ -88,7 +88,7 @@
   }
 }
 
-TEST(Server, AnswersWhatItCannotTake) {
+TEST(HttpServer, RefusesUnknownMethodsMalformedAndLargeRequests) {
   LocalServer server(Echo);
   EXPECT_NE(Raw(server.port(), "PUT /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
                 "\r\n\r\n")
@@ -103,7 +103,7 @@
   EXPECT_EQ(client.Get("/" + std::string(7000, 'a')).status, 200);
 }
 
-TEST(Server, ClosesConnectionsBeyondItsLimit) {
+TEST(HttpServer, ClosesConnectionsBeyondItsLimit) {
   LocalServer server(Echo, 2);
   HttpClient a(server.address(), 2), b(server.address(), 2),
       c(server.address(), 2);
@@ -113,7 +113,7 @@
 }
 
 // Workers that fill their share must not shut out a user, nor be told nothing.
-TEST(Server, GivesEachKindItsShare) {
+TEST(HttpServer, LimitsTheConnectionsOfEachKind) {
   LocalServer server(Echo, 8, 1);
   HttpClient first(server.address(), 5), second(server.address(), 5),
       user(server.address(), 5);
@@ -131,7 +131,7 @@
 
 // Workers outnumber threads by far: between two requests a connection needs
 // none.
-TEST(Server, HoldsMoreConnectionsThanThreads) {
+TEST(HttpServer, HoldsMoreConnectionsThanThreads) {
   constexpr size_t kClients = 300;
   LocalServer server(Echo, kClients + 10, kClients, 64);
   std::vector<std::unique_ptr<HttpClient>> clients;
@@ -144,7 +144,7 @@
 
 // Peers that send half a request, and users who wait, hold threads of their
 // own kind only.
-TEST(Server, OneKindLeavesThreadsToTheOthers) {
+TEST(HttpServer, OneKindLeavesThreadsToTheOthers) {
   std::mutex mutex;
   std::condition_variable changed;
   bool release = false;
@@ -199,21 +199,21 @@
 }
 
 // A zone that was cut off comes back while its old connections still count.
-TEST(Server, AWorkerThatMissedReportsMakesRoom) {
+TEST(HttpServer, StaleWorkerConnectionMakesRoomForANewOne) {
   LocalServer server(Echo, 8, 1, 8, /*stale_s=*/0);
   HttpClient old_one(server.address(), 20), new_one(server.address(), 20);
   EXPECT_EQ(old_one.Post("/worker", "x").status, 200);
   EXPECT_EQ(new_one.Post("/worker", "x").status, 200);
 }
 
-TEST(Client, SaysWhenNothingWasSent) {
+TEST(HttpClient, ReportsThatNothingWasSent) {
   HttpClient client("127.0.0.1:1", 1);
   const HttpAnswer answer = client.Post("/x", "{}");
   EXPECT_EQ(answer.status, 0);
   EXPECT_TRUE(answer.not_sent);
 }
 
-TEST(StateClient, JudgesAnswers) {
+TEST(StateClient, DerivesOutcomeAndRefusalFromTheAnswer) {
   int status = 200;
   std::string body = R"({"epoch":7})";
   LocalServer server([&](const HttpRequest&) {
@@ -248,18 +248,56 @@
   EXPECT_EQ(outcome(200, "rubbish"), Outcome::kUnknown);
 }
 
-TEST(CloudClient, TellsNoCapacityFromTrouble) {
+TEST(StateClient, ListReadsAllPagesAndReturnsTheFirstRevision) {
+  std::vector<std::string> paths;
+  LocalServer server([&](const HttpRequest& request) {
+    paths.push_back(request.path);
+    if (paths.size() == 1)
+      return HttpReply{200, R"({"pairs":[{"k":"c/1","data":1,"stamp":3}],)"
+                            R"("has_next":true,"epoch":7})"};
+    return HttpReply{200, R"({"pairs":[{"k":"c/2","data":2,"stamp":8}],)"
+                          R"("has_next":false,"epoch":9})"};
+  });
+  StateClient client(server.address(), 2);
+  StateList list;
+  list.prefix = "c/";
+  const StateResult result = client.List(list);
+  EXPECT_EQ(result.outcome, Outcome::kOk);
+  EXPECT_EQ(result.revision, 7u);
+  ASSERT_EQ(result.items.size(), 2u);
+  EXPECT_EQ(result.items[1].key, "c/2");
+  EXPECT_EQ(paths.size(), 2u);
+}
+
+TEST(CloudClient, ListMachinesReadsAllPages) {
+  int pages = 0;
+  LocalServer server([&](const HttpRequest&) {
+    const std::string name = "n-" + std::to_string(++pages);
+    return HttpReply{200, R"({"perches":[{"uid":")" + name +
+                              R"(","build":"g8","room":"a",)"
+                              R"("status":"running"}],"has_next":)" +
+                              (pages < 3 ? "true" : "false") + "}"};
+  });
+  CloudClient client(server.address(), 2);
+  const CloudResult result = client.ListMachines({});
+  EXPECT_EQ(result.outcome, Outcome::kOk);
+  ASSERT_EQ(result.listed.size(), 3u);
+  EXPECT_EQ(result.listed[2].name, "n-3");
+  EXPECT_EQ(pages, 3);
+}
+
+TEST(CloudClient, DistinguishesNoCapacityFromAnOutage) {
   std::string body = R"({"error":"no capacity"})";
   LocalServer server([&](const HttpRequest&) { return HttpReply{503, body}; });
   CloudClient client(server.address(), 2);
-  EXPECT_TRUE(client.Rent({}).no_capacity);
+  EXPECT_TRUE(client.Provision({}).no_capacity);
   body = R"({"error":"trouble"})";
-  EXPECT_FALSE(client.Rent({}).no_capacity);
-  EXPECT_EQ(client.Rent({}).outcome, Outcome::kRefused);
+  EXPECT_FALSE(client.Provision({}).no_capacity);
+  EXPECT_EQ(client.Provision({}).outcome, Outcome::kRefused);
 }
 
 // What was decided before a stop of the process is not sent after it.
-TEST(CloudClient, SendsNothingTooLate) {
+TEST(CloudClient, SendsNothingAfterTheActionsTime) {
   std::atomic<int> asked{0};
   LocalServer server([&](const HttpRequest&) {
     ++asked;
@@ -273,8 +311,8 @@
   ProvisionMachines rent;
   rent.not_after = release.not_after = 0;  // long past
   EXPECT_TRUE(client.Release(release).too_late);
-  EXPECT_TRUE(client.Rent(rent).too_late);
-  EXPECT_EQ(client.Rent(rent).outcome, Outcome::kRefused);
+  EXPECT_TRUE(client.Provision(rent).too_late);
+  EXPECT_EQ(client.Provision(rent).outcome, Outcome::kRefused);
   EXPECT_EQ(asked, 1);
 }
 
--- a/tests/protocol_test.cc
+++ b/tests/protocol_test.cc
@@ -1,8 +1,12 @@
-// The published protocol's JSON: what is read, and what is refused how.
+// The published protocol's JSON: the bytes that are written, what is read, and
+// what is refused with which error.
 #include <gtest/gtest.h>
 
 #include <set>
 #include <string>
+#include <tuple>
+#include <utility>
+#include <vector>
 
 #include "protocol/client_codec.h"
 #include "protocol/cloud_codec.h"
@@ -20,7 +24,8 @@
         "one_zone":true,"scatter":false,"loaners":true,"expected_s":240.0,
         "bookmark_s":30.0,"stash_s":4.0,"due_s":900.0,"unknown":{"a":1}})";
 
-std::string With(const std::string& field, const std::string& value) {
+// Returns kSubmission with another value of one field.
+std::string SubmissionWith(const std::string& field, const std::string& value) {
   std::string text = kSubmission;
   const size_t at = text.find("\"" + field + "\":");
   const size_t from = at + field.size() + 3;
@@ -39,7 +44,7 @@
   return text.substr(0, from) + value + text.substr(to);
 }
 
-TEST(Submission, IsRead) {
+TEST(ClientCodec, ReadsEveryFieldOfASubmission) {
   const auto spec = protocol::ParseSubmission(kSubmission);
   ASSERT_TRUE(spec) << spec.error().Message();
   EXPECT_EQ(spec->id, "job-000412");
@@ -53,7 +58,7 @@
   EXPECT_DOUBLE_EQ(*spec->deadline_s, 900);
 }
 
-TEST(Submission, IsRefusedWithTheFieldThatIsWrong) {
+TEST(ClientCodec, ErrorNamesTheFieldThatIsWrong) {
   const std::pair<const char*, const char*> bad[] = {
       {"uid", "\"no-such-form\""},
       {"uid", "7"},
@@ -72,7 +77,7 @@
       {"crew", "\"\""},
       {"due_s", "\"soon\""}};
   for (const auto& [field, value] : bad) {
-    const auto spec = protocol::ParseSubmission(With(field, value));
+    const auto spec = protocol::ParseSubmission(SubmissionWith(field, value));
     ASSERT_FALSE(spec) << field << " " << value;
     const std::string message = spec.error().Message();
     EXPECT_NE(message.find(field), std::string::npos) << message;
@@ -80,8 +85,8 @@
   }
 }
 
-TEST(Submission, OnlyWhatMayBeNullMayBeLeftOut) {
-  const std::set<std::string> may = {"builds", "room", "due_s"};
+TEST(ClientCodec, OnlyNullableFieldsMayBeAbsent) {
+  const std::set<std::string> nullable = {"builds", "room", "due_s"};
   for (const char* field :
        {"uid",     "roster",     "crew",       "shape",     "urgency",
         "parts",   "cores",      "cards",      "memory_gb", "bundle",
@@ -90,15 +95,17 @@
     std::string body = kSubmission;  // the same field under another name
     body.replace(body.find("\"" + std::string(field) + "\":") + 1,
                  std::string(field).size(), "other");
-    EXPECT_EQ(protocol::ParseSubmission(body).has_value(), may.count(field) > 0)
+    EXPECT_EQ(protocol::ParseSubmission(body).has_value(),
+              nullable.count(field) > 0)
         << field;
-    EXPECT_EQ(protocol::ParseSubmission(With(field, "null")).has_value(),
-              may.count(field) > 0)
+    EXPECT_EQ(
+        protocol::ParseSubmission(SubmissionWith(field, "null")).has_value(),
+        nullable.count(field) > 0)
         << field;
   }
 }
 
-TEST(Submission, MalformedBodiesAreRefused) {
+TEST(ClientCodec, RefusesMalformedBodies) {
   for (const char* body :
        {"", "{", "[]", "7", "null", "{}", "\xff\xfe", "{\"uid\":\"job-1\"}"}) {
     const auto spec = protocol::ParseSubmission(body);
@@ -107,7 +114,39 @@
   }
 }
 
-TEST(Submission, SurvivesItsRecord) {
+TEST(ClientCodec, ErrorMessageIsTheTextThatUsersGet) {
+  const std::tuple<std::string, std::string, std::string> cases[] = {
+      {"shape", "\"ring\"", "shape must be sweep or daemon"},
+      {"urgency", "\"asap\"", "urgency must be prod, high, standard or low"},
+      {"parts", "0", "parts must be from 1 to 100000"},
+      {"uid", "\"7\"", "uid is not a job id"},
+      {"crew", "null", "crew is missing"},
+      {"builds", "[]", "builds must be null or name a machine type"}};
+  for (const auto& [field, value, message] : cases) {
+    const auto spec = protocol::ParseSubmission(SubmissionWith(field, value));
+    ASSERT_FALSE(spec) << message;
+    EXPECT_EQ(spec.error().Message(), message);
+  }
+  EXPECT_EQ(protocol::ParseSubmission("{").error().Message(),
+            "the body is not JSON");
+  EXPECT_EQ(protocol::ParseSubmission("[]").error().Message(),
+            "the body is not a JSON object");
+}
+
+TEST(ClientCodec, WritesStatusAndError) {
+  EXPECT_EQ(protocol::EncodeJobStatus("job-1", protocol::JobStatus::kDone),
+            R"({"status":"done","uid":"job-1"})");
+  EXPECT_EQ(protocol::EncodeJobStatus("job-1", protocol::JobStatus::kCancelled),
+            R"({"status":"cancelled","uid":"job-1"})");
+  EXPECT_EQ(protocol::EncodeJobStatus("job-1", protocol::JobStatus::kQueued),
+            R"({"status":"queued","uid":"job-1"})");
+  EXPECT_EQ(protocol::EncodeJobStatus(protocol::JobStatus::kRunning,
+                                      {"job-1", 3, 13}),
+            R"({"done":3,"running":13,"status":"running","uid":"job-1"})");
+  EXPECT_EQ(protocol::EncodeError("no such job"), R"({"error":"no such job"})");
+}
+
+TEST(StoredRecordsCodec, LiveJobRoundTrips) {
   const auto spec = protocol::ParseSubmission(kSubmission);
   ASSERT_TRUE(spec);
   const auto job =
@@ -120,7 +159,7 @@
   EXPECT_DOUBLE_EQ(job->submitted_wall_s, 1234.5);
 }
 
-TEST(Report, IsRead) {
+TEST(WorkerCodec, ReadsAHeartbeat) {
   const auto heartbeat = protocol::ParseHeartbeat(
       R"({"perch":"n-000231","endpoint":"10.1.0.232:9000","build":"g8",
           "room":"a","loaners":true,"shift":1,"tick":88,"baton":41,
@@ -137,7 +176,7 @@
   EXPECT_EQ(heartbeat->tasks[1].reason, ExitReason::kDone);
 }
 
-TEST(Report, MalformedOnesAreRefused) {
+TEST(WorkerCodec, RefusesMalformedHeartbeats) {
   for (const char* body :
        {"", "[]", "{}", R"({"perch":"n-1","build":"x","room":"a","shift":1})",
         R"({"perch":"n-1","build":"x","room":"a","shift":1,"tick":2,
@@ -150,7 +189,7 @@
   }
 }
 
-TEST(Answers, NameTheTokenAndTheOrders) {
+TEST(WorkerCodec, ResponseHoldsTokenAndCommandsOrTheNodeToAsk) {
   HeartbeatResponse answer;
   answer.fencing_token = 41;
   answer.commands = {{CommandKind::kStart, "job-1", 4, 2, 0},
@@ -166,7 +205,21 @@
             R"({"steward":"perch-2"})");
 }
 
-TEST(StateService, AnswersThatMakeNoSenseAreRefused) {
+TEST(WorkerCodec, WritesPushedCommands) {
+  PushedCommands pushed;
+  pushed.fencing_token = 41;
+  pushed.incarnation = 2;
+  pushed.commands = {{CommandKind::kStart, "job-1", 4, 2, 0},
+                     {CommandKind::kStop, "job-2", 1, 1, 10},
+                     {CommandKind::kForget, "job-3", 0, 1, 0}};
+  EXPECT_EQ(protocol::EncodePushedCommands(pushed),
+            R"({"baton":41,"orders":[)"
+            R"({"part":"job-1/4","try":2,"verb":"launch"},)"
+            R"({"leeway_s":10.0,"part":"job-2/1","try":1,"verb":"halt"},)"
+            R"({"part":"job-3/0","try":1,"verb":"clear"}],"shift":2})");
+}
+
+TEST(StateServiceCodec, RefusesMalformedAnswersAndReadsChanges) {
   EXPECT_FALSE(protocol::ParseTransactionAnswer("{}"));
   EXPECT_FALSE(protocol::ParseTransactionAnswer("[1]"));
   EXPECT_FALSE(protocol::ParseItemPage(R"({"epoch":3,"pairs":7})"));
@@ -180,7 +233,94 @@
   EXPECT_TRUE(watched->changes[1].removed);
 }
 
-TEST(Cloud, MalformedAnswersAreRefused) {
+TEST(StateServiceCodec, WritesRequests) {
+  StateTransaction transaction;
+  transaction.preconditions = {{"a/b", 0}};
+  EXPECT_EQ(protocol::EncodeTransaction(transaction),
+            R"({"guards":[{"k":"a/b","stamp":0}]})");
+  transaction.mutations = {{false, "a/b", R"({"x":1})", 7},
+                           {false, "e", "2", 0},
+                           {true, "c/d", "", 0}};
+  EXPECT_EQ(protocol::EncodeTransaction(transaction),
+            R"({"guards":[{"k":"a/b","stamp":0}],"then":[)"
+            R"({"data":{"x":1},"hold":7,"set":"a/b"},)"
+            R"({"data":2,"set":"e"},{"remove":"c/d"}]})");
+  EXPECT_EQ(protocol::EncodeLeaseRequest(5), R"({"ttl_ms":5000})");
+  EXPECT_EQ(protocol::KeyTarget("a/b"), "/keys/a/b");
+  EXPECT_EQ(protocol::ItemPageTarget("c/", "", 1000),
+            "/keys?under=c/&most=1000");
+  EXPECT_EQ(protocol::ItemPageTarget("c/", "c/7", 200),
+            "/keys?under=c/&most=200&after=c/7");
+  EXPECT_EQ(protocol::WatchTarget("c/", 431, 10),
+            "/follow?under=c/&after=431&wait_ms=10000");
+  EXPECT_EQ(protocol::RenewLeaseTarget(7), "/leases/7/renew");
+}
+
+TEST(StateServiceCodec, ReadsAnswers) {
+  const auto transacted =
+      protocol::ParseTransactionAnswer(R"({"failed":["a/b"],"epoch":431})");
+  ASSERT_TRUE(transacted);
+  EXPECT_EQ(transacted->revision, 431u);
+  EXPECT_EQ(transacted->failed_keys, std::vector<std::string>{"a/b"});
+  const auto item =
+      protocol::ParseItem(R"({"k":"a/b","data":{"x":1},"stamp":412,"hold":7})");
+  ASSERT_TRUE(item);
+  EXPECT_EQ(item->key, "a/b");
+  EXPECT_EQ(item->value, R"({"x":1})");
+  EXPECT_EQ(item->version, 412u);
+  const auto page = protocol::ParseItemPage(
+      R"({"pairs":[{"k":"c/1","data":[2],"stamp":3}],"has_next":true,)"
+      R"("epoch":431})");
+  ASSERT_TRUE(page);
+  EXPECT_TRUE(page->has_more);
+  EXPECT_EQ(page->revision, 431u);
+  ASSERT_EQ(page->items.size(), 1u);
+  EXPECT_EQ(page->items[0].value, "[2]");
+  EXPECT_EQ(protocol::ParseLease(R"({"hold":7})"), 7u);
+}
+
+TEST(CloudCodec, WritesRequests) {
+  ProvisioningRecord request;
+  request.name = "r-17";
+  request.type = "g8";
+  request.zone = "a";
+  request.spot = true;
+  request.count = 12;
+  EXPECT_EQ(
+      protocol::EncodeProvisionRequest(request),
+      R"({"build":"g8","hire":"r-17","loaners":true,"number":12,"room":"a"})");
+  EXPECT_EQ(protocol::EncodeReleaseRequest({"n-1", "n-2"}),
+            R"({"perches":["n-1","n-2"]})");
+  EXPECT_EQ(protocol::MachinePageTarget("", 500), "/hosts?most=500");
+  EXPECT_EQ(protocol::MachinePageTarget("n-000230", 500),
+            "/hosts?most=500&after=n-000230");
+}
+
+TEST(CloudCodec, ReadsAnswers) {
+  const auto types = protocol::ParseCatalog(
+      R"({"builds":[{"name":"g8","cores":96,"cards":8,"memory_gb":768,)"
+      R"("cache_gb":200,"pull_gb_per_s":1.0,"price":12.0,"ready_s":45,)"
+      R"("rooms":["a","b"]}]})");
+  ASSERT_TRUE(types) << types.error().Message();
+  ASSERT_EQ(types->size(), 1u);
+  EXPECT_DOUBLE_EQ((*types)[0].gpus, 8);
+  EXPECT_DOUBLE_EQ((*types)[0].spot_price, 12);  // the price, if it is absent
+  EXPECT_EQ((*types)[0].zones.size(), 2u);
+  const auto names = protocol::ParseMachineNames(R"({"perches":["n-1"]})");
+  ASSERT_TRUE(names);
+  EXPECT_EQ(*names, std::vector<std::string>{"n-1"});
+  const auto page = protocol::ParseMachinePage(
+      R"({"perches":[{"uid":"n-1","endpoint":"10.1.0.232:9000","build":"g8",)"
+      R"("room":"a","loaners":true,"status":"running","held_s":61.5}],)"
+      R"("has_next":false})");
+  ASSERT_TRUE(page);
+  EXPECT_FALSE(page->has_more);
+  ASSERT_EQ(page->machines.size(), 1u);
+  EXPECT_EQ(page->machines[0].status, MachineStatus::kRunning);
+  EXPECT_DOUBLE_EQ(page->machines[0].age_s, 61.5);
+}
+
+TEST(CloudCodec, RefusesMalformedAnswers) {
   EXPECT_FALSE(protocol::ParseCatalog("{\"builds\":[]}"));
   EXPECT_FALSE(protocol::ParseCatalog("{\"builds\":[{\"name\":\"x\"}]}"));
   EXPECT_FALSE(protocol::ParseMachineNames("{\"perches\":[1]}"));
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -29,12 +29,12 @@
 const char kMachine[] =
     R"({"address":"10.1.0.1:9000","name":"n-000001","spot":true,)"
     R"("type":"g8","zone":"a"})";
-const char kNoteHex[] =
+const char kPeerStatusHex[] =
     "000000000c0000000000000004000200090000000000000003000000000000000700000000"
     "00000001000000fa0000000500000042000000050000001700000070657263682d31000400"
     "000001000100030000000400000001000000320000006a6f622d31000000";
 
-TEST(StoredForms, JobsAreWrittenAndReadToTheByte) {
+TEST(StoredRecordsCodec, LiveJobKeepsItsBytes) {
   for (const std::string stored : {kArrayJob, kServiceJob}) {
     const auto job = protocol::ParseLiveJob(stored);
     ASSERT_TRUE(job);
@@ -46,7 +46,7 @@
   EXPECT_EQ(service->spec.tasks, 3u);
 }
 
-TEST(StoredForms, RecordsAreWrittenAndReadToTheByte) {
+TEST(StoredRecordsCodec, EveryOtherRecordKeepsItsBytes) {
   const auto request = protocol::ParseProvisioningRecord(kProvisioning);
   ASSERT_TRUE(request);
   EXPECT_EQ(request->machines.size(), 2u);
@@ -65,6 +65,10 @@
   EXPECT_EQ(protocol::EncodeFinalState(FinalState::kDone), R"("done")");
   EXPECT_EQ(protocol::EncodeFinalState(FinalState::kCancelled),
             R"("cancelled")");
+  EXPECT_EQ(protocol::ParseFinalState(R"("done")"), FinalState::kDone);
+  EXPECT_EQ(protocol::ParseFinalState(R"("cancelled")"),
+            FinalState::kCancelled);
+  EXPECT_FALSE(protocol::ParseFinalState("done"));
   const auto completions = protocol::ParseCompletionRecord(R"("0f3")");
   ASSERT_TRUE(completions);
   EXPECT_EQ(completions->bits_hex, "0f3");
@@ -72,11 +76,11 @@
   EXPECT_EQ(protocol::EncodeCompletionRecord(*completions), R"("0f3")");
 }
 
-TEST(StoredForms, NotesAreWrittenAndReadToTheByte) {
+TEST(PeerStatusCodec, MessageKeepsItsBytes) {
   std::string bytes;
-  for (size_t i = 0; kNoteHex[i] != '\0'; i += 2)
-    bytes +=
-        static_cast<char>(std::stoi(std::string(kNoteHex + i, 2), nullptr, 16));
+  for (size_t i = 0; kPeerStatusHex[i] != '\0'; i += 2)
+    bytes += static_cast<char>(
+        std::stoi(std::string(kPeerStatusHex + i, 2), nullptr, 16));
   const auto status = DecodePeerStatus(bytes);
   ASSERT_TRUE(status);
   EXPECT_EQ(status->node, "perch-1");
