--- a/src/core/jobs/objective_slack.cc
+++ b/src/core/jobs/objective_slack.cc
@@ -44,8 +44,10 @@
   if (spec.deadline_s) slack.Add(*spec.deadline_s - age - estimate_s);
   for (const Objective& objective : objectives) {
     if (objective.job_class != spec.job_class) continue;
-    if (objective.kind == "deadline" && spec.deadline_s && objective.deadline_factor > 1)
-      slack.Add(*spec.deadline_s * objective.deadline_factor - age - estimate_s);
+    if (objective.kind == "deadline" && spec.deadline_s &&
+        objective.deadline_factor > 1)
+      slack.Add(*spec.deadline_s * objective.deadline_factor - age -
+                estimate_s);
     if (objective.within_s <= 0) continue;
     if (objective.kind == "wait") slack.Add(objective.within_s - age);
     if (objective.kind == "finished")
