--- a/src/core/model/heartbeat.h
+++ b/src/core/model/heartbeat.h
@@ -43,6 +43,7 @@
 struct HeartbeatId {
   uint64_t incarnation = 0, sequence = 0;
 
+  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
   auto operator<=>(const HeartbeatId&) const = default;
 };
 
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -43,6 +43,7 @@
   // Load spread: gathers the tasks of an image on few machines.
   uint64_t tie_break = 0;
 
+  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
   auto operator<=>(const FitScore&) const = default;
 };
 
