--- a/src/core/balance/imbalance.cc
+++ b/src/core/balance/imbalance.cc
@@ -38,8 +38,8 @@
   return crowded;
 }
 
-double ImbalanceMeter::IsPreemptible(const CrowdedMachine& crowded,
-                                     SpareCpus* spare) {
+double ImbalanceMeter::MovableCpus(const CrowdedMachine& crowded,
+                                   SpareCpus* spare) {
   double movable = 0;
   for (const auto& [key, attempt] : crowded.machine->attempts) {
     if (movable >= crowded.excess_cpus) break;
@@ -56,7 +56,7 @@
   return std::min(movable, crowded.excess_cpus);
 }
 
-Imbalance ImbalanceMeter::CollectStatistics(MachineTable* machines) const {
+Imbalance ImbalanceMeter::Measure(MachineTable* machines) const {
   Imbalance imbalance;
   SpareCpus spare;
   double used_cpus = 0;
@@ -77,7 +77,7 @@
                    });
   double movable = 0;
   for (const CrowdedMachine& crowded : imbalance.crowded)
-    movable += IsPreemptible(crowded, &spare);
+    movable += MovableCpus(crowded, &spare);
   if (used_cpus > 0) imbalance.share = movable / used_cpus;
   return imbalance;
 }
--- a/src/core/balance/imbalance.h
+++ b/src/core/balance/imbalance.h
@@ -28,7 +28,7 @@
 class ImbalanceMeter {
  public:
   explicit ImbalanceMeter(const LoadBounds* bounds) : bounds_(bounds) {}
-  Imbalance CollectStatistics(MachineTable* machines) const;
+  Imbalance Measure(MachineTable* machines) const;
 
  private:
   // Cores that machines of one type, zone and kind could take within their
@@ -39,7 +39,7 @@
   CrowdedMachine Excess(Machine* machine) const;
   // The part of the excess for which there is spare room that the tasks are
   // allowed to use; takes it.
-  static double IsPreemptible(const CrowdedMachine& crowded, SpareCpus* spare);
+  static double MovableCpus(const CrowdedMachine& crowded, SpareCpus* spare);
 
   const LoadBounds* bounds_;
 };
--- a/src/core/balance/move_budget.cc
+++ b/src/core/balance/move_budget.cc
@@ -15,7 +15,7 @@
 
 bool MoveBudget::Allows(const std::string& team, const std::string& job,
                         double now) {
-  return Allows(&autoscaler_, spread_.moves_per_minute, now) &&
+  return Allows(&fleet_, spread_.moves_per_minute, now) &&
          Allows(&teams_[team], spread_.team_moves_per_minute, now) &&
          Allows(&jobs_[job], spread_.job_moves_per_minute, now);
 }
@@ -24,7 +24,7 @@
                        double now) {
   Prune(&teams_, now);
   Prune(&jobs_, now);
-  autoscaler_.push_back(now);
+  fleet_.push_back(now);
   teams_[team].push_back(now);
   jobs_[job].push_back(now);
 }
@@ -37,7 +37,7 @@
 }
 
 void MoveBudget::Clear() {
-  autoscaler_.clear();
+  fleet_.clear();
   teams_.clear();
   jobs_.clear();
 }
--- a/src/core/balance/move_budget.h
+++ b/src/core/balance/move_budget.h
@@ -28,7 +28,7 @@
   static void Prune(std::map<std::string, Times>* all, double now);
 
   SpreadSettings spread_;
-  Times autoscaler_;
+  Times fleet_;
   std::map<std::string, Times> teams_, jobs_;
 };
 
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -43,7 +43,7 @@
   next_tick_ = context_->now + kRebalanceEveryS;
   GiveUpLate();
   bounds_.Update(context_->now);
-  const Imbalance imbalance = meter_.CollectStatistics(machines_);
+  const Imbalance imbalance = meter_.Measure(machines_);
   imbalance_ = imbalance.share;
   const bool may_even_out = MayMove();
   // While machines are unreconciled for, what is stopped might not start again.
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -50,7 +50,7 @@
   }
   Imbalance CollectStatistics() {
     bounds_.Update(0);
-    return ImbalanceMeter(&bounds_).CollectStatistics(&machines_);
+    return ImbalanceMeter(&bounds_).Measure(&machines_);
   }
 
   MachineType type_{"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"a", "b"}};
