--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -210,6 +210,7 @@
       next_idle_check = now + kIdleCheckIntervalS;
       connections_.CloseExpired(now);
     }
+    std::lock_guard lock(mutex_);
     EndServerThread();
   }
 
