--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -45,35 +45,38 @@
     pending_.AnswerUnavailable(request, "the machine types are not known yet");
     return;
   }
-  if (const std::optional<std::string> reason = rules_.RejectionReason(spec)) {
-    RejectUnlessAccepted(request, spec.id, 422, *reason);
+  if (const std::optional<std::string> reason =
+          rules_.FindRejectionReason(spec)) {
+    RejectUnlessAlreadyAccepted(request, spec.id, 422, *reason);
     return;
   }
   auto job = std::make_shared<LiveJob>();
   job->spec = spec;
   job->submitted_wall_s = context_->wall;
-  Record(request, std::move(job));
+  RecordSubmission(request, std::move(job));
 }
 
-void JobApi::Record(uint64_t request, std::shared_ptr<const LiveJob> job) {
+void JobApi::RecordSubmission(uint64_t request,
+                              std::shared_ptr<const LiveJob> job) {
   const std::string id = job->spec.id;
   std::string record = protocol::EncodeLiveJob(*job);
   if (record.size() > limits_->value_bytes()) {
-    RejectUnlessAccepted(request, id, 400, kTooLargeToStore);
+    RejectUnlessAlreadyAccepted(request, id, 400, kTooLargeToStore);
     return;
   }
-  // The preconditions make the submission idempotent: neither record exists.
+  // The preconditions require that neither record exists, which makes the
+  // submission idempotent.
   context_->Transact(
       StateConnection::kUser, {{keys::Live(id), 0}, {keys::Final(id), 0}},
       {{false, keys::Live(id), std::move(record), 0}},
       [this, request, job = std::move(job)](const StateResult& result) {
-        OnRecorded(request, job, result);
+        OnSubmissionRecorded(request, job, result);
       });
 }
 
-void JobApi::OnRecorded(uint64_t request,
-                        const std::shared_ptr<const LiveJob>& job,
-                        const StateResult& result) {
+void JobApi::OnSubmissionRecorded(uint64_t request,
+                                  const std::shared_ptr<const LiveJob>& job,
+                                  const StateResult& result) {
   const std::string& id = job->spec.id;
   switch (result.outcome) {
     case Outcome::kOk:
@@ -83,38 +86,41 @@
           protocol::EncodeJobStatus(id, protocol::JobStatus::kQueued));
       return;
     case Outcome::kConflict:
-      AnswerIfAccepted(request, id,
-                       [this, request] { pending_.AnswerNoState(request); });
+      AnswerIfAlreadyAccepted(request, id, [this, request] {
+        pending_.AnswerStateUnavailable(request);
+      });
       return;
     case Outcome::kRefused:
       if (result.refusal == StateRefusal::kTooLarge) {
-        RejectUnlessAccepted(request, id, 400, kTooLargeToStore);
+        RejectUnlessAlreadyAccepted(request, id, 400, kTooLargeToStore);
         return;
       }
       [[fallthrough]];
     case Outcome::kUnknown:
-      // It may yet be carried out; the user's retry will find the job.
+      // The write may still be carried out; a retry by the user then finds the
+      // job.
       pending_.AnswerUnavailable(request, "the job could not be recorded");
       return;
   }
 }
 
-void JobApi::RejectUnlessAccepted(uint64_t request, const std::string& id,
-                                  int status, const std::string& why) {
-  AnswerIfAccepted(request, id, [this, request, status, why] {
-    pending_.Answer(request, status, protocol::EncodeError(why));
+void JobApi::RejectUnlessAlreadyAccepted(uint64_t request,
+                                         const std::string& id, int status,
+                                         const std::string& reason) {
+  AnswerIfAlreadyAccepted(request, id, [this, request, status, reason] {
+    pending_.Answer(request, status, protocol::EncodeError(reason));
   });
 }
 
-void JobApi::AnswerIfAccepted(uint64_t request, const std::string& id,
-                              std::function<void()> if_unknown) {
+void JobApi::AnswerIfAlreadyAccepted(uint64_t request, const std::string& id,
+                                     std::function<void()> on_unknown_job) {
   lookup_.Find(StateConnection::kUser, id,
-               [this, request, id,
-                if_unknown = std::move(if_unknown)](JobLocation location) {
-                 if (location == JobLocation::kNoAnswer)
-                   pending_.AnswerNoState(request);
-                 else if (location == JobLocation::kNowhere)
-                   if_unknown();
+               [this, request, id, on_unknown_job = std::move(on_unknown_job)](
+                   JobLocation location) {
+                 if (location == JobLocation::kUnavailable)
+                   pending_.AnswerStateUnavailable(request);
+                 else if (location == JobLocation::kNotFound)
+                   on_unknown_job();
                  else
                    responses_.AnswerFromCache(request, id);
                });
@@ -122,7 +128,8 @@
 
 // --- Polls and cancellations -------------------------------------------------
 
-bool JobApi::Begin(uint64_t request, RequestKind kind, const std::string& id) {
+bool JobApi::AdmitOrAnswerLocally(uint64_t request, RequestKind kind,
+                                  const std::string& id) {
   if (!pending_.Admit(request, kind)) return false;
   if (!protocol::IsValidJobId(id)) {
     responses_.AnswerUnknownJob(request);
@@ -134,9 +141,9 @@
 }
 
 void JobApi::Poll(uint64_t request, const std::string& id) {
-  if (!Begin(request, RequestKind::kPoll, id)) return;
+  if (!AdmitOrAnswerLocally(request, RequestKind::kPoll, id)) return;
   if (job_cache_->FindLive(id)) {
-    quorum_reads_.Add(request, id);
+    quorum_reads_.AddPoll(request, id);
     return;
   }
   if (!lookup_quota_.TryAcquire()) {
@@ -144,49 +151,51 @@
         request, "too many jobs that are not known here are asked for");
     return;
   }
-  lookup_.Find(
-      StateConnection::kPoll, id, [this, request, id](JobLocation location) {
-        if (location == JobLocation::kNoAnswer)
-          pending_.AnswerNoState(request);
-        else if (location == JobLocation::kNowhere && !job_cache_->FindLive(id))
-          responses_.AnswerUnknownJob(request);
-        else  // found, or accepted since it was looked for
-          responses_.AnswerFromCache(request, id);
-      });
+  lookup_.Find(StateConnection::kPoll, id,
+               [this, request, id](JobLocation location) {
+                 if (location == JobLocation::kUnavailable)
+                   pending_.AnswerStateUnavailable(request);
+                 else if (location == JobLocation::kNotFound &&
+                          !job_cache_->FindLive(id))
+                   responses_.AnswerUnknownJob(request);
+                 else  // found, or accepted while the lookup was in flight
+                   responses_.AnswerFromCache(request, id);
+               });
 }
 
 void JobApi::Cancel(uint64_t request, const std::string& id) {
-  if (!Begin(request, RequestKind::kMutation, id)) return;
+  if (!AdmitOrAnswerLocally(request, RequestKind::kMutation, id)) return;
   if (job_cache_->FindLive(id)) {
-    CancelLive(request, id);
+    CancelLiveJob(request, id);
     return;
   }
   lookup_.Find(StateConnection::kUser, id,
                [this, request, id](JobLocation location) {
                  switch (location) {
                    case JobLocation::kLive:
-                     // It may have ended since, and is out of the cache then.
+                     // The job may have ended since the lookup; the cache then
+                     // no longer lists it as live.
                      if (job_cache_->FindLive(id)) {
-                       CancelLive(request, id);
+                       CancelLiveJob(request, id);
                        return;
                      }
                      [[fallthrough]];
                    case JobLocation::kFinal:
                      responses_.AnswerFromCache(request, id);
                      return;
-                   case JobLocation::kNowhere:
+                   case JobLocation::kNotFound:
                      responses_.AnswerUnknownJob(request);
                      return;
-                   case JobLocation::kNoAnswer:
-                     pending_.AnswerNoState(request);
+                   case JobLocation::kUnavailable:
+                     pending_.AnswerStateUnavailable(request);
                      return;
                  }
                });
 }
 
-// Committed before it is told. The precondition prevents a job that has been
-// done meanwhile from being told as cancelled.
-void JobApi::CancelLive(uint64_t request, const std::string& id) {
+// The cancellation is committed before it is reported. The precondition
+// prevents a job that completes concurrently from being reported as cancelled.
+void JobApi::CancelLiveJob(uint64_t request, const std::string& id) {
   const uint64_t version = job_cache_->FindLive(id)->version;
   context_->Transact(
       StateConnection::kUser, {{keys::Live(id), version}},
@@ -198,7 +207,7 @@
           job_cache_->ApplyFinalState(id, FinalState::kCancelled);
           responses_.AnswerFromCache(request, id);
         } else if (result.outcome == Outcome::kConflict) {
-          responses_.AnswerEnded(StateConnection::kUser, {request}, id);
+          responses_.AnswerEndedJob(StateConnection::kUser, {request}, id);
         } else {
           pending_.AnswerUnavailable(request,
                                      "the cancellation could not be recorded");
--- a/src/core/api/job_api.h
+++ b/src/core/api/job_api.h
@@ -1,6 +1,6 @@
-// The users' requests: submissions, polls and cancellations of jobs. Every
-// controller answers them by itself through the state service, whether or not
-// it leads.
+// Handles the users' requests: submissions, polls and cancellations of jobs.
+// Every controller answers them through the state service, whether or not it is
+// the leader.
 #pragma once
 
 #include <cstdint>
@@ -21,61 +21,64 @@
 
 namespace sorrelwood {
 
-// Each request gets one answer, a ClientResponse with its number. In all of
-// them 429 means load shedding, and 503 that the state service has not
-// confirmed anything: both come with Retry-After, and the request may be
-// repeated as it is.
+// Each request gets exactly one answer, a ClientResponse with the number of the
+// request. Any request may be answered 429 (load shedding) or 503 (the state
+// service has not confirmed the result). Both carry Retry-After, and the client
+// may repeat the request unchanged.
 class JobApi {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   JobApi(Context* context, JobCache* job_cache, const StateLimitTracker* limits,
          const ClusterSettings* settings);
-  // The parts point to each other.
+  // Not copyable: the members hold pointers to each other.
   JobApi(const JobApi&) = delete;
   JobApi& operator=(const JobApi&) = delete;
 
-  // The cloud's catalogue was read. Submissions are answered 503 before the
-  // first one.
+  // Sets the machine types of the cloud's catalogue. Submissions are answered
+  // 503 until the types are known.
   void UpdateCatalog(const std::vector<MachineType>& types) {
     rules_.UpdateCatalog(types);
   }
 
-  // Called often: answers requests that have waited too long (503), and sends
+  // Called periodically: answers requests that have timed out (503), and sends
   // the quorum reads that are due.
   void Tick();
 
-  // 201 once the job is recorded. Idempotent: a submission of an id that was
-  // accepted before gets 200 and the job's state, whatever else it says. 422:
-  // the job can never run; 400: it is too large to be stored.
+  // Answers 201 once the job is recorded, 422 if it can never run, and 400 if
+  // it is too large to be stored. Idempotent: if a job with this id was
+  // accepted before, the answer is 200 with that job's state, even if the rest
+  // of the submission differs.
   void Submit(uint64_t request, const JobSpec& spec);
 
-  // 200 and the job's state, which is never behind what any controller told
-  // before; 404 if there is no such job.
+  // Answers 200 with the job's state, or 404 if there is no such job. The state
+  // is never older than what any controller has reported before.
   void Poll(uint64_t request, const std::string& id);
 
-  // 200 and the job's state once the cancellation is recorded, or if the job
-  // has ended; 404 if there is no such job.
+  // Answers 200 with the job's state once the cancellation is recorded or if
+  // the job has already ended, and 404 if there is no such job.
   void Cancel(uint64_t request, const std::string& id);
 
  private:
-  // Answers what can be answered without the state service: too many requests,
-  // ids that no job can have, and jobs that have ended. True if the request
-  // still waits.
-  bool Begin(uint64_t request, RequestKind kind, const std::string& id);
+  // Admits a poll or cancellation and answers it if that is possible without
+  // the state service: too many pending requests, an invalid job id, or a job
+  // that is known to have ended. True if the request is still pending.
+  bool AdmitOrAnswerLocally(uint64_t request, RequestKind kind,
+                            const std::string& id);
 
-  void Record(uint64_t request, std::shared_ptr<const LiveJob> job);
-  void OnRecorded(uint64_t request, const std::shared_ptr<const LiveJob>& job,
-                  const StateResult& result);
-  // Rejects a submission, unless it is an idempotent request: the job may have
-  // been accepted under other machine types or limits.
-  void RejectUnlessAccepted(uint64_t request, const std::string& id, int status,
-                            const std::string& why);
-  // Answers an idempotent request; `if_unknown` is called if no such job has
-  // been accepted.
-  void AnswerIfAccepted(uint64_t request, const std::string& id,
-                        std::function<void()> if_unknown);
-  // The job must be live in the cache.
-  void CancelLive(uint64_t request, const std::string& id);
+  void RecordSubmission(uint64_t request, std::shared_ptr<const LiveJob> job);
+  void OnSubmissionRecorded(uint64_t request,
+                            const std::shared_ptr<const LiveJob>& job,
+                            const StateResult& result);
+  // Rejects a submission unless its job was accepted before, possibly under
+  // other machine types or limits.
+  void RejectUnlessAlreadyAccepted(uint64_t request, const std::string& id,
+                                   int status, const std::string& reason);
+  // Answers a repeated submission with the state of its job, or calls
+  // `on_unknown_job` if no such job has been accepted.
+  void AnswerIfAlreadyAccepted(uint64_t request, const std::string& id,
+                               std::function<void()> on_unknown_job);
+  // Cancels a job, which must be live in the cache.
+  void CancelLiveJob(uint64_t request, const std::string& id);
 
   Context* context_;
   JobCache* job_cache_;
--- a/src/core/api/job_lookup.cc
+++ b/src/core/api/job_lookup.cc
@@ -8,43 +8,44 @@
 namespace sorrelwood {
 
 void JobLookup::Find(StateConnection connection, const std::string& id,
-                     Callback found) {
+                     Callback on_located) {
   context_->Get(connection, keys::Live(id),
-                [this, connection, id,
-                 found = std::move(found)](const StateResult& result) {
+                [this, connection, id, on_located = std::move(on_located)](
+                    const StateResult& result) {
                   if (result.outcome == Outcome::kOk && !result.items.empty()) {
                     const KeyValue& item = result.items[0];
                     job_cache_->ApplyLiveJob(id, item.version, item.value);
-                    found(JobLocation::kLive);
+                    on_located(JobLocation::kLive);
                   } else if (result.outcome == Outcome::kConflict) {
-                    FindFinal(connection, id, found);
+                    FindFinal(connection, id, on_located);
                   } else {
-                    found(JobLocation::kNoAnswer);
+                    on_located(JobLocation::kUnavailable);
                   }
                 });
 }
 
 void JobLookup::FindFinal(StateConnection connection, const std::string& id,
-                          Callback found) {
-  context_->Get(
-      connection, keys::Final(id),
-      [this, id, found = std::move(found)](const StateResult& result) {
-        if (result.outcome == Outcome::kConflict) {
-          found(JobLocation::kNowhere);
-          return;
-        }
-        if (result.outcome != Outcome::kOk || result.items.empty()) {
-          found(JobLocation::kNoAnswer);
-          return;
-        }
-        const auto state = protocol::ParseFinalState(result.items[0].value);
-        if (!state) {
-          found(JobLocation::kNoAnswer);
-          return;
-        }
-        job_cache_->ApplyFinalState(id, *state);
-        found(JobLocation::kFinal);
-      });
+                          Callback on_located) {
+  context_->Get(connection, keys::Final(id),
+                [this, id, on_located = std::move(on_located)](
+                    const StateResult& result) {
+                  if (result.outcome == Outcome::kConflict) {
+                    on_located(JobLocation::kNotFound);
+                    return;
+                  }
+                  if (result.outcome != Outcome::kOk || result.items.empty()) {
+                    on_located(JobLocation::kUnavailable);
+                    return;
+                  }
+                  const auto state =
+                      protocol::ParseFinalState(result.items[0].value);
+                  if (!state) {
+                    on_located(JobLocation::kUnavailable);
+                    return;
+                  }
+                  job_cache_->ApplyFinalState(id, *state);
+                  on_located(JobLocation::kFinal);
+                });
 }
 
 }  // namespace sorrelwood
--- a/src/core/api/job_lookup.h
+++ b/src/core/api/job_lookup.h
@@ -1,5 +1,5 @@
-// Reads of a single job from the state service, which sees every committed
-// write. What is read goes into the job cache.
+// Reads single jobs from the state service, with every committed write visible,
+// and stores the results in the job cache.
 #pragma once
 
 #include <functional>
@@ -10,29 +10,30 @@
 
 namespace sorrelwood {
 
-// Where the state service has a job.
+// The kind of record that the state service holds for a job.
 enum class JobLocation {
   kLive,
-  kFinal,    // it has ended
-  kNowhere,  // no such job was accepted
-  kNoAnswer,
+  kFinal,        // the job has ended
+  kNotFound,     // no such job was accepted
+  kUnavailable,  // no valid answer from the state service
 };
 
 class JobLookup {
  public:
   using Callback = std::function<void(JobLocation)>;
 
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   JobLookup(Context* context, JobCache* job_cache)
       : context_(context), job_cache_(job_cache) {}
 
-  // Reads the live record and, if there is none, the final one: a job moves
-  // from the first to the second, so this order misses none.
-  void Find(StateConnection connection, const std::string& id, Callback found);
+  // Reads the live record and, if there is none, the final one. A job moves
+  // from live to final, so no job is missed in this order.
+  void Find(StateConnection connection, const std::string& id,
+            Callback on_located);
 
-  // The final record alone, of a job that is known to be live no more.
+  // Reads only the final record, for a job that is known to be no longer live.
   void FindFinal(StateConnection connection, const std::string& id,
-                 Callback found);
+                 Callback on_located);
 
  private:
   Context* context_;
--- a/src/core/api/job_responses.cc
+++ b/src/core/api/job_responses.cc
@@ -10,14 +10,15 @@
 using protocol::JobStatus;
 
 void JobResponses::AnswerFromCache(uint64_t request, const std::string& id) {
-  if (const auto state = job_cache_->FindFinal(id)) {
-    const JobStatus status =
-        *state == FinalState::kDone ? JobStatus::kDone : JobStatus::kCancelled;
+  if (const auto final_state = job_cache_->FindFinal(id)) {
+    const JobStatus status = *final_state == FinalState::kDone
+                                 ? JobStatus::kDone
+                                 : JobStatus::kCancelled;
     pending_->Answer(request, 200, EncodeJobStatus(id, status));
     return;
   }
-  const CachedJob* known = job_cache_->FindLive(id);
-  JobCounts counts = known ? known->counts : JobCounts();
+  const CachedJob* cached_job = job_cache_->FindLive(id);
+  JobCounts counts = cached_job ? cached_job->counts : JobCounts();
   counts.id = id;
   const JobStatus status =
       counts.running > 0 ? JobStatus::kRunning : JobStatus::kQueued;
@@ -28,9 +29,9 @@
   pending_->Answer(request, 404, protocol::EncodeError("no such job"));
 }
 
-void JobResponses::AnswerEnded(StateConnection connection,
-                               std::vector<uint64_t> requests,
-                               const std::string& id) {
+void JobResponses::AnswerEndedJob(StateConnection connection,
+                                  std::vector<uint64_t> requests,
+                                  const std::string& id) {
   lookup_->FindFinal(
       connection, id,
       [this, requests = std::move(requests), id](JobLocation location) {
@@ -38,7 +39,7 @@
           if (location == JobLocation::kFinal)
             AnswerFromCache(request, id);
           else
-            pending_->AnswerNoState(request);
+            pending_->AnswerStateUnavailable(request);
         }
       });
 }
--- a/src/core/api/job_responses.h
+++ b/src/core/api/job_responses.h
@@ -1,4 +1,4 @@
-// The answers to users that tell the state of a job.
+// Answers users' requests with the state of a job.
 #pragma once
 
 #include <cstdint>
@@ -13,21 +13,22 @@
 
 class JobResponses {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   JobResponses(PendingRequests* pending, JobCache* job_cache, JobLookup* lookup)
       : pending_(pending), job_cache_(job_cache), lookup_(lookup) {}
 
-  // 200: the job as the cache has it. Whoever calls has made sure that the
-  // cache is not behind what another controller may have told before.
+  // Answers 200 with the job's state from the cache. The caller must ensure
+  // that the cache is not older than what another controller may have reported.
   void AnswerFromCache(uint64_t request, const std::string& id);
 
-  // 404
+  // Answers 404.
   void AnswerUnknownJob(uint64_t request);
 
-  // The job is live no more: reads how it ended, once for all requests, and
-  // tells each (200, or 503 if that cannot be read).
-  void AnswerEnded(StateConnection connection, std::vector<uint64_t> requests,
-                   const std::string& id);
+  // For a job that is no longer live: reads its final state once for all
+  // requests and answers each with 200, or with 503 if the state cannot be
+  // read.
+  void AnswerEndedJob(StateConnection connection,
+                      std::vector<uint64_t> requests, const std::string& id);
 
  private:
   PendingRequests* pending_;
--- a/src/core/api/lookup_quota.h
+++ b/src/core/api/lookup_quota.h
@@ -1,4 +1,4 @@
-// The rate at which polls may read jobs that are not in the cache.
+// Limits the rate at which polls may read jobs that are not in the cache.
 #pragma once
 
 #include "core/engine/context.h"
@@ -6,23 +6,23 @@
 
 namespace sorrelwood {
 
-// A token bucket that holds one second's reads. Prevents polls for jobs that
-// nobody submitted, or that ended long ago, from taking the state service's
-// requests from lease renewals and the leader's writes.
+// A token bucket with a capacity of one second's reads. Polls for jobs that
+// were never submitted or ended long ago would otherwise use up the request
+// rate of the state service that lease renewals and the leader's writes need.
 class LookupQuota {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   LookupQuota(const Context* context, const ClusterSettings* settings)
       : context_(context), settings_(settings) {}
 
-  // Takes one read, if one is left now.
+  // Takes one read from the quota; false if none is available now.
   bool TryAcquire();
 
  private:
   const Context* context_;
   const ClusterSettings* settings_;
-  double available_ = 0;
-  double refilled_at_ = 0;
+  double available_reads_ = 0;
+  double refilled_at_ = 0;  // steady clock, s
 };
 
 }  // namespace sorrelwood
--- a/src/core/api/pending_requests.cc
+++ b/src/core/api/pending_requests.cc
@@ -9,14 +9,14 @@
 namespace sorrelwood {
 
 bool PendingRequests::Admit(uint64_t request, RequestKind kind) {
-  const bool poll = kind == RequestKind::kPoll;
-  const size_t waiting =
-      poll ? pending_polls_ : pending_.size() - pending_polls_;
-  const size_t most = poll ? kMaxWaitingPolls : kMaxWaitingChanges;
-  const double timeout_s = poll ? kPollTimeoutS : kSubmitTimeoutS;
+  const bool is_poll = kind == RequestKind::kPoll;
+  const size_t pending_of_kind =
+      is_poll ? pending_polls_ : pending_.size() - pending_polls_;
+  const size_t max_pending = is_poll ? kMaxWaitingPolls : kMaxWaitingChanges;
+  const double timeout_s = is_poll ? kPollTimeoutS : kSubmitTimeoutS;
   pending_[request] = {kind, context_->now + timeout_s};
-  if (poll) ++pending_polls_;
-  if (waiting < most) return true;
+  if (is_poll) ++pending_polls_;
+  if (pending_of_kind < max_pending) return true;
   AnswerOverloaded(request, "too many requests are waiting");
   return false;
 }
@@ -24,7 +24,7 @@
 void PendingRequests::Answer(uint64_t request, int status, std::string body,
                              double retry_after_s) {
   const auto pending = pending_.find(request);
-  if (pending == pending_.end()) return;  // answered already
+  if (pending == pending_.end()) return;  // already answered
   if (pending->second.kind == RequestKind::kPoll) --pending_polls_;
   pending_.erase(pending);
   context_->out.push_back(
@@ -32,16 +32,16 @@
 }
 
 void PendingRequests::AnswerOverloaded(uint64_t request,
-                                       const std::string& why) {
-  Answer(request, 429, protocol::EncodeError(why), kOverloadedRetryAfterS);
+                                       const std::string& reason) {
+  Answer(request, 429, protocol::EncodeError(reason), kOverloadedRetryAfterS);
 }
 
 void PendingRequests::AnswerUnavailable(uint64_t request,
-                                        const std::string& why) {
-  Answer(request, 503, protocol::EncodeError(why), kUnavailableRetryAfterS);
+                                        const std::string& reason) {
+  Answer(request, 503, protocol::EncodeError(reason), kUnavailableRetryAfterS);
 }
 
-void PendingRequests::AnswerNoState(uint64_t request) {
+void PendingRequests::AnswerStateUnavailable(uint64_t request) {
   AnswerUnavailable(request, "the state service does not answer");
 }
 
@@ -49,7 +49,7 @@
   std::vector<uint64_t> overdue;
   for (const auto& [request, pending] : pending_)
     if (context_->now > pending.expires_at) overdue.push_back(request);
-  for (const uint64_t request : overdue) AnswerNoState(request);
+  for (const uint64_t request : overdue) AnswerStateUnavailable(request);
 }
 
 }  // namespace sorrelwood
--- a/src/core/api/pending_requests.h
+++ b/src/core/api/pending_requests.h
@@ -1,5 +1,5 @@
-// Users' requests that have not been answered: how many may wait, and for how
-// long.
+// Tracks the users' requests that have not been answered yet, and limits their
+// number and their waiting time.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +20,24 @@
   // `context` must outlive this object.
   explicit PendingRequests(Context* context) : context_(context) {}
 
-  // Load shedding: false if too many requests of the kind wait already; the
-  // request has been answered (429) then. Polls and mutations are counted
-  // apart. Prevents a storm of polls from keeping submissions out.
+  // Admits the request, or answers it with 429 and returns false if too many
+  // requests of its kind are pending (load shedding). Polls and mutations have
+  // separate limits, so that many polls cannot block submissions.
   bool Admit(uint64_t request, RequestKind kind);
 
-  // Answers the request, unless it has been answered before.
+  // Answers the request, unless it has been answered before. A `retry_after_s`
+  // of 0 means that the answer carries no Retry-After header.
   void Answer(uint64_t request, int status, std::string body,
               double retry_after_s = 0);
-  // 429: the user is to come back when there is less to do.
-  void AnswerOverloaded(uint64_t request, const std::string& why);
-  // 503: the outcome is not known, or the cluster cannot answer now.
-  void AnswerUnavailable(uint64_t request, const std::string& why);
-  // The same, because the state service has not answered.
-  void AnswerNoState(uint64_t request);
-
-  // Answers those that have waited for the state service too long (503).
-  // Prevents users from giving up without an answer.
+  // Answers 429: the user should retry when the load is lower.
+  void AnswerOverloaded(uint64_t request, const std::string& reason);
+  // Answers 503: the outcome is unknown, or the cluster cannot answer now.
+  void AnswerUnavailable(uint64_t request, const std::string& reason);
+  // Answers 503 because the state service has not answered.
+  void AnswerStateUnavailable(uint64_t request);
+
+  // Answers requests that have waited too long for the state service (503),
+  // before the users' own timeouts expire.
   void ExpireOverdue();
 
  private:
@@ -46,7 +47,7 @@
   };
 
   Context* context_;
-  std::map<uint64_t, Pending> pending_;  // by request
+  std::map<uint64_t, Pending> pending_;  // by request number
   size_t pending_polls_ = 0;
 };
 
--- a/src/core/api/quorum_reads.cc
+++ b/src/core/api/quorum_reads.cc
@@ -24,76 +24,77 @@
           static_cast<double>(settings->peers.size() + 1) /
               (settings->state_requests_per_s * kQuorumReadRateShare))) {}
 
-void QuorumReads::Add(uint64_t request, const std::string& id) {
-  if (waiting_.empty()) next_send_at_ = context_->now + interval_s_;
-  waiting_.push_back({request, id});
+void QuorumReads::AddPoll(uint64_t request, const std::string& id) {
+  if (pending_polls_.empty()) next_send_at_ = context_->now + interval_s_;
+  pending_polls_.push_back({request, id});
 }
 
 void QuorumReads::Tick() {
-  if (!waiting_.empty() && context_->now >= next_send_at_ &&
-      in_flight_ < kMaxQuorumReadsInFlight)
-    Send();
+  if (!pending_polls_.empty() && context_->now >= next_send_at_ &&
+      reads_in_flight_ < kMaxQuorumReadsInFlight)
+    SendBatch();
 }
 
 QuorumReads::Batch QuorumReads::TakeBatch() {
-  const size_t most = limits_->max_preconditions();
+  const size_t max_jobs = limits_->max_preconditions();
   Batch batch;
-  std::set<std::string> included;
-  std::vector<WaitingPoll> rest;
-  for (WaitingPoll& poll : waiting_) {
-    const CachedJob* known = job_cache_->FindLive(poll.id);
-    if (!known) {  // it has ended since the poll came: that is final
+  std::set<std::string> included_job_ids;
+  std::vector<PendingPoll> deferred;
+  for (PendingPoll& poll : pending_polls_) {
+    const CachedJob* cached_job = job_cache_->FindLive(poll.id);
+    if (!cached_job) {  // ended since the poll arrived; an end is final
       responses_->AnswerFromCache(poll.request, poll.id);
       continue;
     }
-    if (!included.count(poll.id)) {
-      if (batch.preconditions.size() >= most) {
-        rest.push_back(std::move(poll));
+    if (!included_job_ids.count(poll.id)) {
+      if (batch.preconditions.size() >= max_jobs) {
+        deferred.push_back(std::move(poll));
         continue;
       }
-      included.insert(poll.id);
-      batch.preconditions.push_back({keys::Live(poll.id), known->version});
+      included_job_ids.insert(poll.id);
+      batch.preconditions.push_back({keys::Live(poll.id), cached_job->version});
     }
     batch.polls.push_back(std::move(poll));
   }
-  waiting_ = std::move(rest);
+  pending_polls_ = std::move(deferred);
   return batch;
 }
 
 // A transaction of preconditions alone, sent after the polls arrived, shows
 // which of their jobs are still live.
-void QuorumReads::Send() {
+void QuorumReads::SendBatch() {
   Batch batch = TakeBatch();
   next_send_at_ = context_->now + interval_s_;
   if (batch.preconditions.empty()) return;
-  ++in_flight_;
+  ++reads_in_flight_;
   context_->Transact(
       StateConnection::kPoll, std::move(batch.preconditions), {},
       [this, polls = std::move(batch.polls)](const StateResult& result) {
-        --in_flight_;
-        OnResult(polls, result);
+        --reads_in_flight_;
+        OnBatchResult(polls, result);
       });
 }
 
-void QuorumReads::OnResult(const std::vector<WaitingPoll>& polls,
-                           const StateResult& result) {
-  const std::set<std::string> failed(result.failed.begin(),
-                                     result.failed.end());
-  const bool conflict = result.outcome == Outcome::kConflict;
-  std::map<std::string, std::vector<uint64_t>> ended;  // requests by job
-  for (const WaitingPoll& poll : polls) {
-    const bool still_live =
-        result.outcome == Outcome::kOk ||
-        (conflict && !failed.empty() && !failed.count(keys::Live(poll.id)));
-    if (still_live)
+void QuorumReads::OnBatchResult(const std::vector<PendingPoll>& polls,
+                                const StateResult& result) {
+  const std::set<std::string> failed_keys(result.failed.begin(),
+                                          result.failed.end());
+  const bool has_conflict = result.outcome == Outcome::kConflict;
+  // Requests by the id of a job that has ended.
+  std::map<std::string, std::vector<uint64_t>> ended_jobs;
+  for (const PendingPoll& poll : polls) {
+    const bool is_still_live = result.outcome == Outcome::kOk ||
+                               (has_conflict && !failed_keys.empty() &&
+                                !failed_keys.count(keys::Live(poll.id)));
+    if (is_still_live)
       responses_->AnswerFromCache(poll.request, poll.id);
-    else if (conflict)
-      ended[poll.id].push_back(poll.request);
+    else if (has_conflict)
+      ended_jobs[poll.id].push_back(poll.request);
     else
-      pending_->AnswerNoState(poll.request);
+      pending_->AnswerStateUnavailable(poll.request);
   }
-  for (auto& [id, requests] : ended)
-    responses_->AnswerEnded(StateConnection::kPoll, std::move(requests), id);
+  for (auto& [id, requests] : ended_jobs)
+    responses_->AnswerEndedJob(StateConnection::kPoll, std::move(requests), id);
 }
 
 }  // namespace sorrelwood
--- a/src/core/api/quorum_reads.h
+++ b/src/core/api/quorum_reads.h
@@ -1,6 +1,7 @@
-// Quorum reads for polls: another controller may have told a later state of the
-// job than this one's cache has, so the state service is asked before an answer
-// from the cache. Polls share these reads.
+// Quorum reads for polls. Another controller may have reported a later state of
+// the job than this controller's cache holds, so the state service confirms
+// that the job is still live before a poll is answered from the cache. Polls
+// share these reads.
 #pragma once
 
 #include <cstdint>
@@ -18,33 +19,35 @@
 
 class QuorumReads {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   QuorumReads(Context* context, JobCache* job_cache,
               const StateLimitTracker* limits, PendingRequests* pending,
               JobResponses* responses, const ClusterSettings* settings);
 
-  // Answers the poll for a job that is live in the cache with the next read.
-  void Add(uint64_t request, const std::string& id);
+  // Adds a poll for a job that is live in the cache; it is answered after one
+  // of the next reads.
+  void AddPoll(uint64_t request, const std::string& id);
 
   // Sends the next read when it is due.
   void Tick();
 
  private:
-  struct WaitingPoll {
+  struct PendingPoll {
     uint64_t request = 0;
     std::string id;
   };
-  // The polls of one read, with the preconditions that their jobs are live.
+  // The polls of one read, and the preconditions that their jobs are live.
   struct Batch {
-    std::vector<WaitingPoll> polls;
+    std::vector<PendingPoll> polls;
     std::vector<Precondition> preconditions;
   };
 
-  // As many of the waiting polls as one transaction may hold.
+  // Removes and returns as many pending polls as one transaction may cover.
+  // Answers polls for jobs that the cache no longer lists as live.
   Batch TakeBatch();
-  void Send();
-  void OnResult(const std::vector<WaitingPoll>& polls,
-                const StateResult& result);
+  void SendBatch();
+  void OnBatchResult(const std::vector<PendingPoll>& polls,
+                     const StateResult& result);
 
   Context* context_;
   JobCache* job_cache_;
@@ -52,9 +55,9 @@
   PendingRequests* pending_;
   JobResponses* responses_;
   const double interval_s_;
-  std::vector<WaitingPoll> waiting_;
+  std::vector<PendingPoll> pending_polls_;
   double next_send_at_ = 0;  // steady clock, s
-  int in_flight_ = 0;
+  int reads_in_flight_ = 0;
 };
 
 }  // namespace sorrelwood
--- a/src/core/api/submission_rules.cc
+++ b/src/core/api/submission_rules.cc
@@ -11,7 +11,8 @@
 
 }  // namespace
 
-bool SubmissionRules::FitsType(const JobSpec& spec, const MachineType& type) {
+bool SubmissionRules::TaskFitsType(const JobSpec& spec,
+                                   const MachineType& type) {
   if (spec.cpus > type.cpus || spec.gpus > type.gpus ||
       spec.memory_gb > type.memory_gb)
     return false;
@@ -19,19 +20,21 @@
   return spec.zone.empty() || Contains(type.zones, spec.zone);
 }
 
-std::optional<std::string> SubmissionRules::RejectionReason(
+std::optional<std::string> SubmissionRules::FindRejectionReason(
     const JobSpec& spec) const {
-  const auto team =
-      std::find_if(settings_->teams.begin(), settings_->teams.end(),
-                   [&](const Team& t) { return t.name == spec.team; });
+  const auto team = std::find_if(
+      settings_->teams.begin(), settings_->teams.end(),
+      [&](const Team& candidate) { return candidate.name == spec.team; });
   if (team == settings_->teams.end()) return "unknown team " + spec.team;
-  // An array may run a few tasks at a time; the others run all of them.
-  const double together = spec.shape == JobShape::kArray ? 1 : spec.tasks;
-  if (spec.cpus * together > team->cpus_max ||
-      spec.gpus * together > team->gpus_max)
+  // The tasks of an array may run one at a time; other jobs run all their tasks
+  // concurrently.
+  const double min_concurrent_tasks =
+      spec.shape == JobShape::kArray ? 1 : spec.tasks;
+  if (spec.cpus * min_concurrent_tasks > team->cpus_max ||
+      spec.gpus * min_concurrent_tasks > team->gpus_max)
     return "the job needs more than the limit of team " + spec.team;
   if (std::none_of(types_.begin(), types_.end(), [&](const MachineType& type) {
-        return FitsType(spec, type);
+        return TaskFitsType(spec, type);
       }))
     return "a task fits no machine type that the job allows";
   return std::nullopt;
--- a/src/core/api/submission_rules.h
+++ b/src/core/api/submission_rules.h
@@ -1,4 +1,4 @@
-// Which submissions the cluster can ever run.
+// Decides whether the cluster can ever run a submitted job.
 #pragma once
 
 #include <optional>
@@ -18,16 +18,19 @@
       : settings_(settings) {}
 
   void UpdateCatalog(const std::vector<MachineType>& types) { types_ = types; }
-  // False: no submission can be judged, since the machine types are not known.
+  // While this is false, the machine types are unknown and no submission can be
+  // checked.
   bool catalog_known() const { return !types_.empty(); }
 
-  // Why no machine type, or not the team's limit, could ever take the job;
-  // nothing if it can run. The text is for the user.
-  std::optional<std::string> RejectionReason(const JobSpec& spec) const;
+  // The reason, worded for the user, why the job can never run: its team is
+  // unknown, the team's limit is too low, or no machine type fits. Nothing if
+  // the job can run.
+  std::optional<std::string> FindRejectionReason(const JobSpec& spec) const;
 
  private:
-  // An empty machine of the type takes a task, and the job allows the type.
-  static bool FitsType(const JobSpec& spec, const MachineType& type);
+  // Whether the job allows the machine type and a task of it fits on an empty
+  // machine of that type.
+  static bool TaskFitsType(const JobSpec& spec, const MachineType& type);
 
   const ClusterSettings* settings_;
   std::vector<MachineType> types_;
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -134,7 +134,7 @@
 
 void LeaderRole::PlacePending() {
   if (!placement_timer_.Due(context_->now)) return;
-  unreconciled_.ReserveIn(&placement_);
+  unreconciled_.ReserveCapacityIn(&placement_);
   if (election_->MayDispatch()) placement_.RunPass(election_->term());
 }
 
--- a/src/core/workers/attempt_tracker.cc
+++ b/src/core/workers/attempt_tracker.cc
@@ -9,34 +9,37 @@
   Job* job = jobs_->Find(task.job);
   const TaskId id{task.job, task.task};
   if (!job || task.task >= job->spec().tasks) {
-    // Its job has ended, so what it takes of a team's limit is unknown.
+    // The job has ended, so the team and resources of the task are unknown.
     unreconciled_->AddUnknownTask(*machine);
     return;
   }
-  // Another attempt of the task is tracked on this machine: that one counts.
+  // Another attempt of the task is tracked on this machine and takes
+  // precedence.
   if (machine->attempts.count(id) > 0) return;
-  if (!WithdrawPlannedElsewhere(*job, id)) return;
-  TaskAttempt attempt = MakeAdopted(*job, *machine, task);
+  if (!EnsureNotStartedElsewhere(*job, id)) return;
+  TaskAttempt attempt = MakeAdoptedAttempt(*job, *machine, task);
   jobs_->Place(job, task.task, machine->name, machine->zone);
   machine->AddAttempt(id, std::move(attempt));
   machine->TouchImage(job->spec().image);
 }
 
-bool AttemptTracker::WithdrawPlannedElsewhere(const Job& job,
-                                              const TaskId& id) {
-  const auto placed = job.progress.machine_of_task.find(id.task);
-  if (placed == job.progress.machine_of_task.end()) return true;
-  Machine* other = machines_->Find(placed->second);
+bool AttemptTracker::EnsureNotStartedElsewhere(const Job& job,
+                                               const TaskId& id) {
+  const auto placement = job.progress.machine_of_task.find(id.task);
+  if (placement == job.progress.machine_of_task.end()) return true;
+  Machine* other = machines_->Find(placement->second);
   if (!other) return false;
-  const auto it = other->attempts.find(id);
-  if (it == other->attempts.end() || it->second.phase != AttemptPhase::kPlanned)
+  const auto other_entry = other->attempts.find(id);
+  if (other_entry == other->attempts.end() ||
+      other_entry->second.phase != AttemptPhase::kPlanned)
     return false;
-  Remove(other, it);
+  Remove(other, other_entry);
   return true;
 }
 
-TaskAttempt AttemptTracker::MakeAdopted(const Job& job, const Machine& machine,
-                                        const TaskStatus& task) const {
+TaskAttempt AttemptTracker::MakeAdoptedAttempt(const Job& job,
+                                               const Machine& machine,
+                                               const TaskStatus& task) const {
   TaskAttempt attempt;
   attempt.number = task.attempt;
   attempt.cpus = job.spec().cpus;
@@ -51,10 +54,10 @@
   return attempt;
 }
 
-void AttemptTracker::Remove(Machine* machine,
-                            std::map<TaskId, TaskAttempt>::iterator it) {
-  const TaskId id = it->first;
-  const TaskAttempt attempt = machine->RemoveAttempt(it);
+void AttemptTracker::Remove(
+    Machine* machine, std::map<TaskId, TaskAttempt>::iterator attempt_entry) {
+  const TaskId id = attempt_entry->first;
+  const TaskAttempt attempt = machine->RemoveAttempt(attempt_entry);
   Job* job = jobs_->Find(id.job);
   if (!job || !attempt.job_active) {
     jobs_->AddOrphanedUsage(attempt.record->spec.team, -attempt.cpus,
@@ -66,10 +69,11 @@
 }
 
 void AttemptTracker::RemovePlanned(Machine* machine) {
-  for (auto it = machine->attempts.begin(); it != machine->attempts.end();) {
-    const auto next = std::next(it);
-    if (it->second.phase == AttemptPhase::kPlanned) Remove(machine, it);
-    it = next;
+  for (auto entry = machine->attempts.begin();
+       entry != machine->attempts.end();) {
+    const auto next_entry = std::next(entry);
+    if (entry->second.phase == AttemptPhase::kPlanned) Remove(machine, entry);
+    entry = next_entry;
   }
 }
 
--- a/src/core/workers/attempt_tracker.h
+++ b/src/core/workers/attempt_tracker.h
@@ -1,5 +1,5 @@
-// Adds and removes the task attempts of machines, and keeps the job table, the
-// teams' usage and the rebalancer in step with them.
+// Adds and removes the task attempts of machines, and updates the job table,
+// the teams' usage and the rebalancer accordingly.
 #pragma once
 
 #include <map>
@@ -25,31 +25,32 @@
         rebalancer_(rebalancer),
         unreconciled_(unreconciled) {}
 
-  // The machine reports an attempt that is not tracked: one that an earlier
-  // leader started, which is taken in, or one that should not be there, which
-  // CommandSelector stops.
+  // Handles a reported attempt that is not tracked. Tracks it if it may have
+  // been started by an earlier leader and its task is not placed elsewhere;
+  // otherwise CommandSelector stops it.
   void Adopt(Machine* machine, const TaskStatus& task);
 
-  // The attempt is proved to be absent: its task is pending again, unless it is
-  // done.
-  void Remove(Machine* machine, std::map<TaskId, TaskAttempt>::iterator it);
-  // Withdraws the attempts whose start command was not sent; their tasks can
-  // be placed elsewhere at once.
+  // Removes an attempt that is proved to be absent from the machine. Its task
+  // becomes pending again unless it is done.
+  void Remove(Machine* machine,
+              std::map<TaskId, TaskAttempt>::iterator attempt_entry);
+  // Removes the attempts whose start command was not sent; their tasks can be
+  // placed elsewhere at once.
   void RemovePlanned(Machine* machine);
-  // The worker has started anew and holds no attempts any more.
+  // Removes all attempts, e.g. because the worker has restarted without them.
   void RemoveAll(Machine* machine);
-  // The machine is gone, or no leader can have kept its tasks alive for so
-  // long. It does not hold tasks of an earlier term either, which a restart of
-  // the worker alone does not prove: an earlier leader may have placed tasks
-  // since.
+  // Treats the machine as empty, because it is gone or every worker lease that
+  // any leader granted it has expired. Unlike RemoveAll, this also clears the
+  // tasks of earlier terms: a worker restart alone does not prove their
+  // absence, since an earlier leader may have placed tasks after it.
   void ForgetMachineContents(Machine* machine);
 
  private:
-  // Whether the task may be taken as running on the reporting machine: it is
-  // tracked nowhere else, or only planned there and now withdrawn.
-  bool WithdrawPlannedElsewhere(const Job& job, const TaskId& id);
-  TaskAttempt MakeAdopted(const Job& job, const Machine& machine,
-                          const TaskStatus& task) const;
+  // Withdraws the task's planned attempt on another machine, if there is one.
+  // False if the task may already have been started on another machine.
+  bool EnsureNotStartedElsewhere(const Job& job, const TaskId& id);
+  TaskAttempt MakeAdoptedAttempt(const Job& job, const Machine& machine,
+                                 const TaskStatus& task) const;
 
   Context* context_;
   const LeaderElection* election_;
--- a/src/core/workers/command_selector.cc
+++ b/src/core/workers/command_selector.cc
@@ -6,47 +6,51 @@
                                              const Heartbeat& heartbeat) {
   std::vector<Command> commands;
   for (const TaskStatus& task : heartbeat.tasks)
-    if (const std::optional<Command> command = ForReported(*machine, task))
+    if (const std::optional<Command> command =
+            SelectForReported(*machine, task))
       commands.push_back(*command);
-  // Guards against starts by a leader that may have been replaced.
+  // A leader that may have been replaced must not start tasks.
   if (election_->MayDispatch() &&
       placement_->eligibility().AcceptsTasks(*machine))
-    AddStarts(machine, heartbeat, &commands);
+    AddStartCommands(machine, heartbeat, &commands);
   else
     attempts_->RemovePlanned(machine);
   return commands;
 }
 
-std::optional<Command> CommandSelector::ForReported(const Machine& machine,
-                                                    const TaskStatus& task) {
-  if (task.state == TaskState::kExited) return ForExited(task);
-  const auto it = machine.attempts.find({task.job, task.task});
-  const bool tracked =
-      it != machine.attempts.end() && it->second.number == task.attempt;
-  if (tracked && !it->second.stop) return std::nullopt;
-  // The stop is not repeated while the attempt saves a checkpoint: a second one
-  // without grace would end it.
-  if (tracked && task.state == TaskState::kSaving && it->second.job_active)
+std::optional<Command> CommandSelector::SelectForReported(
+    const Machine& machine, const TaskStatus& task) {
+  if (task.state == TaskState::kExited) return SelectForExited(task);
+  const auto attempt_entry = machine.attempts.find({task.job, task.task});
+  const bool is_tracked = attempt_entry != machine.attempts.end() &&
+                          attempt_entry->second.number == task.attempt;
+  if (is_tracked && !attempt_entry->second.stop) return std::nullopt;
+  // The stop command is not repeated while the attempt saves a checkpoint: a
+  // second one without a grace period would kill it.
+  if (is_tracked && task.state == TaskState::kSaving &&
+      attempt_entry->second.job_active)
     return std::nullopt;
-  const double grace_s = tracked ? it->second.stop_grace_s : 0;
+  const double grace_s = is_tracked ? attempt_entry->second.stop_grace_s : 0;
   return Command{CommandKind::kStop, task.job, task.task, task.attempt,
                  grace_s};
 }
 
-// A completion is forgotten by the worker only once it is committed or its job
-// has ended. Guards against results that are lost when this leader crashes. A
-// replica is never complete, so there is nothing to keep.
-std::optional<Command> CommandSelector::ForExited(const TaskStatus& task) {
+// The worker keeps a completion until it is committed or its job has ended, so
+// that the result is not lost if this leader crashes. A replica never
+// completes, so the worker may always forget its exit.
+std::optional<Command> CommandSelector::SelectForExited(
+    const TaskStatus& task) {
   const Job* job = jobs_->Find(task.job);
-  const bool keep = task.reason == ExitReason::kDone && job &&
-                    !job->spec().IsService() &&
-                    !job->progress.committed.Contains(task.task);
-  if (keep) return std::nullopt;
+  const bool must_keep = task.reason == ExitReason::kDone && job &&
+                         !job->spec().IsService() &&
+                         !job->progress.committed.Contains(task.task);
+  if (must_keep) return std::nullopt;
   return Command{CommandKind::kForget, task.job, task.task, task.attempt, 0};
 }
 
-void CommandSelector::AddStarts(Machine* machine, const Heartbeat& heartbeat,
-                                std::vector<Command>* commands) {
+void CommandSelector::AddStartCommands(Machine* machine,
+                                       const Heartbeat& heartbeat,
+                                       std::vector<Command>* commands) {
   for (auto& [id, attempt] : machine->attempts) {
     if (attempt.phase != AttemptPhase::kPlanned) continue;
     attempt.phase = AttemptPhase::kDispatched;
@@ -61,14 +65,14 @@
   }
 }
 
-std::vector<Command> CommandSelector::StopsForEndedJobs(
+std::vector<Command> CommandSelector::SelectStopsForEndedJobs(
     const Heartbeat& heartbeat) const {
-  std::vector<Command> stops;
+  std::vector<Command> stop_commands;
   for (const TaskStatus& task : heartbeat.tasks)
     if (task.state != TaskState::kExited && !job_cache_->FindLive(task.job))
-      stops.push_back(
+      stop_commands.push_back(
           {CommandKind::kStop, task.job, task.task, task.attempt, 0});
-  return stops;
+  return stop_commands;
 }
 
 }  // namespace sorrelwood
--- a/src/core/workers/command_selector.h
+++ b/src/core/workers/command_selector.h
@@ -1,4 +1,4 @@
-// Chooses the commands that a worker is given in response to its heartbeat.
+// Selects the commands that are sent to a worker in response to its heartbeat.
 #pragma once
 
 #include <optional>
@@ -26,25 +26,28 @@
         placement_(placement),
         attempts_(attempts) {}
 
-  // For a worker that has acknowledged this term's token: attempts to forget
-  // and to stop, then the planned attempts to start, which count as dispatched
-  // from now on. Where nothing may be started, they are withdrawn.
+  // Commands for a worker that has acknowledged this term's token: first forget
+  // and stop commands, then start commands for the planned attempts, which are
+  // marked as dispatched. If no task may be started, the planned attempts are
+  // withdrawn.
   std::vector<Command> Select(Machine* machine, const Heartbeat& heartbeat);
 
-  // Stops for the attempts of jobs that have ended, whatever token the report
-  // carries. Guards against responses that renew a worker's lease and so keep
-  // the tasks of a cancelled job alive: of a leader that has not read its
-  // records yet, perhaps for a whole outage, and of leaders that change so fast
-  // that no report carries the token of the leader that receives it.
-  std::vector<Command> StopsForEndedJobs(const Heartbeat& heartbeat) const;
+  // Stop commands for the attempts of jobs that have ended, whatever token the
+  // heartbeat carries. Each response renews the worker's lease, so without
+  // these commands it would keep the tasks of a cancelled job alive. This
+  // happens while the leader has not read its records yet, possibly for a whole
+  // outage, or if leaders change so fast that no heartbeat carries the token of
+  // the leader that receives it.
+  std::vector<Command> SelectStopsForEndedJobs(
+      const Heartbeat& heartbeat) const;
 
  private:
   // The command for an attempt that the worker reports, if it needs one.
-  std::optional<Command> ForReported(const Machine& machine,
-                                     const TaskStatus& task);
-  std::optional<Command> ForExited(const TaskStatus& task);
-  void AddStarts(Machine* machine, const Heartbeat& heartbeat,
-                 std::vector<Command>* commands);
+  std::optional<Command> SelectForReported(const Machine& machine,
+                                           const TaskStatus& task);
+  std::optional<Command> SelectForExited(const TaskStatus& task);
+  void AddStartCommands(Machine* machine, const Heartbeat& heartbeat,
+                        std::vector<Command>* commands);
 
   Context* context_;
   LeaderElection* election_;
--- a/src/core/workers/failure_tracker.cc
+++ b/src/core/workers/failure_tracker.cc
@@ -9,36 +9,45 @@
 namespace sorrelwood {
 
 void FailureTracker::OnTaskFailed(Machine* machine, Job* job, uint32_t task) {
-  const bool job_succeeds = job->succeeded();
+  const bool job_has_succeeded = job->succeeded();
   if (context_->debug)
     context_->Debug(
         "task failed",
         {{"job", job->id()}, {"task", task}, {"machine", machine->name}});
   job->failures.last_error_at = context_->now;
-  const bool first_on_machine =
+  const bool is_first_on_machine =
       job->failures.machines.insert(machine->name).second;
   if (job->failing() && context_->now >= job->failures.retry_at) BackOff(job);
-  if (first_on_machine && job->broken() &&
+  if (is_first_on_machine && job->broken() &&
       job->failures.machines.size() == kBrokenJobMachines) {
-    context_->Info("job fails on every machine", {{"job", job->id()}});
-    // Machines that were quarantined because of this job leave quarantine.
+    context_->Info(
+        "job has failed on several machines and succeeded on none; retrying "
+        "with backoff",
+        {{"job", job->id()}});
+    // Ends the quarantine of machines that only this job's failures spoke
+    // against.
     ReassessMachines(job->failures.machines);
   }
-  // The task itself is at fault when it keeps failing while others succeed.
-  if (job_succeeds && ++job->failures.task_errors[task] >= kBrokenTaskErrors)
+  // A task that keeps failing while other tasks of its job succeed is at fault
+  // itself, so the failure does not count against the machine.
+  if (job_has_succeeded &&
+      ++job->failures.task_errors[task] >= kBrokenTaskErrors)
     return;
-  // Such a service ends its own replicas, which tells nothing of machines.
+  // The replicas of this service exit by themselves on any machine, so the exit
+  // does not count against this one.
   if (job->replicas.ends_by_itself) return;
   ++machine->health.errors[job->id()];
   quarantine_->Reassess(machine);
 }
 
-// One pause for each round of retries, however many tasks of a round fail.
+// The pause grows once per round of retries, no matter how many tasks of the
+// round fail.
 void FailureTracker::BackOff(Job* job) const {
   const int doublings =
       std::min(++job->failures.rounds, kJobRetryPauseMaxDoublings);
-  const double pause = kJobRetryPauseS * std::pow(2.0, doublings);
-  job->failures.retry_at = context_->now + std::min(pause, kJobRetryPauseMaxS);
+  const double pause_s = kJobRetryPauseS * std::pow(2.0, doublings);
+  job->failures.retry_at =
+      context_->now + std::min(pause_s, kJobRetryPauseMaxS);
 }
 
 void FailureTracker::OnTaskSucceeded(Machine* machine) {
@@ -54,8 +63,9 @@
   ReassessMachines(failed_on);
 }
 
-void FailureTracker::ReassessMachines(const std::set<std::string>& names) {
-  for (const std::string& name : names)
+void FailureTracker::ReassessMachines(
+    const std::set<std::string>& machine_names) {
+  for (const std::string& name : machine_names)
     if (Machine* machine = machines_->Find(name))
       quarantine_->Reassess(machine);
 }
--- a/src/core/workers/failure_tracker.h
+++ b/src/core/workers/failure_tracker.h
@@ -1,8 +1,8 @@
 // Decides whether the job or the machine is at fault when tasks fail.
 //
-// A job that has succeeded somewhere is not at fault; one that has failed on
-// several machines and succeeded nowhere is. Until that is known a failure
-// counts once against the machine.
+// A job with a success on any machine is not at fault. A job that has failed on
+// several machines without any success is. While neither is known, the job's
+// failures count once against each machine.
 #pragma once
 
 #include <cstdint>
@@ -22,20 +22,20 @@
                  Quarantine* quarantine)
       : context_(context), machines_(machines), quarantine_(quarantine) {}
 
-  // An attempt of the task exited with an error on the machine.
+  // Handles an attempt of the task that exited with an error on the machine.
   void OnTaskFailed(Machine* machine, Job* job, uint32_t task);
-  // A task ran as it should on the machine: earlier failures there do not show
+  // A task succeeded on the machine: earlier failures there no longer indicate
   // that the machine is at fault.
   void OnTaskSucceeded(Machine* machine);
-  // A task of the job ran as it should somewhere: its failures count against
-  // the machines that it failed on.
+  // A task of the job succeeded on some machine: the job's failures now count
+  // against the machines that it failed on.
   void OnTaskSucceeded(Job* job);
 
  private:
-  // Retries happen with exponential backoff. Guards against a job that fails
-  // everywhere and takes the capacity of others with its retries.
+  // Delays the next retry with exponential backoff, so that the retries of a
+  // job that fails on every machine do not take capacity from other jobs.
   void BackOff(Job* job) const;
-  void ReassessMachines(const std::set<std::string>& names);
+  void ReassessMachines(const std::set<std::string>& machine_names);
 
   Context* context_;
   MachineTable* machines_;
--- a/src/core/workers/health_monitor.cc
+++ b/src/core/workers/health_monitor.cc
@@ -9,7 +9,7 @@
 namespace sorrelwood {
 
 void HealthMonitor::OnTermStarted() {
-  ++generation_;
+  ++term_generation_;
   term_started_at_ = context_->now;
 }
 
@@ -26,62 +26,67 @@
   return SilenceThresholdS() + kPushTimeoutS + kPushIntervalS;
 }
 
-double HealthMonitor::EarlierTermTasksUntil() const {
+double HealthMonitor::EarlierTermTasksEndedBy() const {
   return term_started_at_ + election_->worker_lease_renewal_window_s() +
-         WorkerLeaseS();
+         MaxTaskSurvivalS();
 }
 
-double HealthMonitor::TasksGoneAt(const Machine& machine) const {
+double HealthMonitor::TasksEndedBy(const Machine& machine) const {
   return machine.lifecycle.from_earlier_term
-             ? EarlierTermTasksUntil()
-             : machine.contact.last_answered_at + WorkerLeaseS();
+             ? EarlierTermTasksEndedBy()
+             : machine.contact.last_answered_at + MaxTaskSurvivalS();
 }
 
 void HealthMonitor::CheckMachines() {
-  const Census census = TakeCensus();
-  // During an outage of the state service nobody else could lead.
-  if (election_->MayDispatch() && MostMachinesSilent(census)) {
+  const ContactCounts counts = UpdateContactCounts();
+  // Resign only while this leader may dispatch: during an outage of the state
+  // service no other node could become leader.
+  if (election_->MayDispatch() && MostMachinesSilent(counts)) {
     election_->Resign("most machines are silent");
     if (!election_->leading()) return;
   }
-  const EarlyReturns early_returns = AllowedEarlyReturns(census);
+  const EarlyReleases early_releases = AllowedEarlyReleases(counts);
   for (auto& [name, machine] : machines_->all())
-    if (machine->lifecycle.ever_reported) Check(machine.get(), early_returns);
+    if (machine->lifecycle.ever_reported)
+      CheckMachine(machine.get(), early_releases);
 }
 
-HealthMonitor::Census HealthMonitor::TakeCensus() {
-  const double recently_s =
+HealthMonitor::ContactCounts HealthMonitor::UpdateContactCounts() {
+  const double recent_contact_s =
       kFastResignHeartbeats * settings_->heartbeat_interval_s;
-  Census census;
+  ContactCounts counts;
   for (const auto& [name, machine] : machines_->all()) {
-    if (BlocksRecovery(*machine)) ++census.blocking_recovery;
+    if (BlocksRecovery(*machine)) ++counts.blocking_recovery;
     if (!machine->lifecycle.ever_reported ||
         !machine->lifecycle.identity_confirmed)
       continue;
     DetectUnreachable(machine.get());
     if (IsRecordWithoutMachine(*machine)) continue;
-    ++census.expected;
-    const double quiet_s = context_->now - machine->contact.last_contact_at;
-    if (machine->contact.unreachable || quiet_s > SilenceThresholdS())
-      ++census.silent;
-    if (quiet_s > recently_s) ++census.recently_quiet;
+    ++counts.expected;
+    const double since_contact_s =
+        context_->now - machine->contact.last_contact_at;
+    if (machine->contact.unreachable || since_contact_s > SilenceThresholdS())
+      ++counts.silent;
+    if (since_contact_s > recent_contact_s) ++counts.without_recent_contact;
   }
-  return census;
+  return counts;
 }
 
-// Its heartbeats come and are answered, but for longer than the worker's lease
-// no response is proved to have arrived; a slow network is far from that. It is
-// not answered any more. Guards against a machine to which tasks are sent that
-// never start.
+// Marks a machine whose heartbeats arrive and are answered, but which has not
+// confirmed any response for longer than the worker lease; a slow network stays
+// far below this. Its heartbeats are then refused. Without this check, tasks
+// would be sent to the machine that never start.
 void HealthMonitor::DetectUnreachable(Machine* machine) const {
   const double unproven_s = machine->contact.last_answered_at -
                             machine->contact.delivery_unproven_since;
   if (machine->contact.unreachable || !machine->lifecycle.token_acknowledged ||
-      unproven_s <= WorkerLeaseS() + SilenceThresholdS())
+      unproven_s <= MaxTaskSurvivalS() + SilenceThresholdS())
     return;
   machine->contact.unreachable = true;
-  context_->Info("machine unreachable: heartbeats arrive, responses do not",
-                 {{"machine", machine->name}});
+  context_->Info(
+      "machine unreachable: no response confirmed within its worker lease; "
+      "refusing its heartbeats so that the lease expires",
+      {{"machine", machine->name}});
 }
 
 bool HealthMonitor::IsRecordWithoutMachine(const Machine& machine) const {
@@ -89,59 +94,61 @@
          autoscaler_->inventory_known();
 }
 
-// Guards against a leader that alone is cut off from the workers: their leases
-// would expire although another controller could answer them. In a large fleet
-// a much smaller share in contact tells it sooner.
-bool HealthMonitor::MostMachinesSilent(const Census& census) const {
+// Detects that this leader is cut off from the workers. If it kept leading,
+// their leases would expire although another controller could answer them. In a
+// large fleet a shorter time suffices if almost no machine is in contact.
+bool HealthMonitor::MostMachinesSilent(const ContactCounts& counts) const {
   if (context_->now - term_started_at_ <= SilenceThresholdS()) return false;
-  const int in_contact = census.expected - census.silent;
-  const int in_recent_contact = census.expected - census.recently_quiet;
-  const bool most_silent = census.expected >= kResignMinMachines &&
-                           in_contact < census.expected * kResignReachableShare;
-  const bool nearly_all_quiet =
-      census.expected >= kFastResignMinMachines &&
-      in_recent_contact < census.expected * kFastResignReachableShare;
-  return most_silent || nearly_all_quiet;
-}
-
-HealthMonitor::EarlyReturns HealthMonitor::AllowedEarlyReturns(
-    const Census& census) {
-  EarlyReturns allowed;
+  const int in_contact = counts.expected - counts.silent;
+  const int in_recent_contact = counts.expected - counts.without_recent_contact;
+  const bool most_silent = counts.expected >= kResignMinMachines &&
+                           in_contact < counts.expected * kResignReachableShare;
+  const bool nearly_all_lost =
+      counts.expected >= kFastResignMinMachines &&
+      in_recent_contact < counts.expected * kFastResignReachableShare;
+  return most_silent || nearly_all_lost;
+}
+
+HealthMonitor::EarlyReleases HealthMonitor::AllowedEarlyReleases(
+    const ContactCounts& counts) {
+  EarlyReleases allowed;
   allowed.silent =
-      census.silent <= std::max(1.0, census.expected * kEarlyReleaseMaxShare);
+      counts.silent <= std::max(1.0, counts.expected * kEarlyReleaseMaxShare);
   allowed.blocking_recovery =
-      census.blocking_recovery <=
-      std::max(1.0, census.expected * kBlockingMachineShare);
+      counts.blocking_recovery <=
+      std::max(1.0, counts.expected * kBlockingMachineShare);
   return allowed;
 }
 
-void HealthMonitor::Check(Machine* machine, const EarlyReturns& early_returns) {
+void HealthMonitor::CheckMachine(Machine* machine,
+                                 const EarlyReleases& early_releases) {
   if (NeedsTokenPush(*machine)) PushToken(machine);
-  if (OutlivedEarlierTerm(*machine)) {
+  if (EarlierTermTasksHaveEnded(*machine)) {
     context_->Info(
-        "fencing token not acknowledged in time: tasks presumed gone",
+        "fencing token not acknowledged before all earlier worker leases "
+        "expired; treating the machine as empty",
         {{"machine", machine->name}});
     attempts_->ForgetMachineContents(machine);
   }
-  if (early_returns.blocking_recovery && BlocksRecovery(*machine)) {
+  if (early_releases.blocking_recovery && BlocksRecovery(*machine)) {
     autoscaler_->Release(machine, ReleaseReason::kBlocksRecovery);
     return;
   }
   if (IsSilent(*machine) || machine->contact.unreachable ||
-      TokenUndelivered(*machine))
-    HandleLostContact(machine, early_returns.silent);
+      IsTokenUndelivered(*machine))
+    HandleLostContact(machine, early_releases.silent);
 }
 
-// By heartbeats alone. Guards against a machine that answers pushes but reaches
-// no controller: tasks placed on it would never be started.
+// Only heartbeats count. A machine that answers pushes but reaches no
+// controller would never receive the start commands of tasks placed on it.
 bool HealthMonitor::IsSilent(const Machine& machine) const {
   return context_->now - machine.contact.last_heartbeat_at >
          SilenceThresholdS();
 }
 
 bool HealthMonitor::NeedsTokenPush(const Machine& machine) const {
-  // Most machines acknowledge the token in their first heartbeats after a
-  // failover.
+  // Most machines acknowledge the token within their first heartbeats after a
+  // failover and need no push.
   const bool acknowledgement_overdue =
       machine.lifecycle.from_earlier_term &&
       context_->now - term_started_at_ >
@@ -152,56 +159,62 @@
          context_->now >= machine.contact.next_push;
 }
 
-// No earlier leader can have kept its tasks alive for so long, whether or not
-// it reports or is being returned. Guards against a machine that never
-// acknowledges the token and for ever blocks all jobs of earlier terms and
-// counts against every team's limit.
-bool HealthMonitor::OutlivedEarlierTerm(const Machine& machine) const {
+// Whether all worker leases that an earlier leader may have renewed on the
+// machine have expired. Applies also if the machine reports or is being
+// released. Otherwise a machine that never acknowledges the token would block
+// all jobs of earlier terms and count against every team's limit indefinitely.
+bool HealthMonitor::EarlierTermTasksHaveEnded(const Machine& machine) const {
   return machine.lifecycle.from_earlier_term &&
-         context_->now > EarlierTermTasksUntil();
+         context_->now > EarlierTermTasksEndedBy();
 }
 
 bool HealthMonitor::BlocksRecovery(const Machine& machine) const {
-  // Enough for the first pushes to have timed out.
-  const double patience_s =
+  // Long enough for the first pushes to have timed out.
+  const double min_wait_s =
       kFailoverHeartbeats * settings_->heartbeat_interval_s + kPushTimeoutS +
       kPushIntervalS / 2;
   return machine.lifecycle.from_earlier_term &&
          machine.lifecycle.ever_reported && !machine.lifecycle.terminating &&
          machine.contact.unanswered_pushes > 0 &&
          machine.contact.applied.sequence == 0 &&
-         context_->now - term_started_at_ > patience_s;
+         context_->now - term_started_at_ > min_wait_s;
 }
 
-bool HealthMonitor::TokenUndelivered(const Machine& machine) const {
+bool HealthMonitor::IsTokenUndelivered(const Machine& machine) const {
   return !machine.lifecycle.token_acknowledged &&
          context_->now - machine.contact.last_delivery_proof_at >
              UnreachableThresholdS();
 }
 
-void HealthMonitor::HandleLostContact(Machine* machine, bool may_return_early) {
+void HealthMonitor::HandleLostContact(Machine* machine,
+                                      bool may_release_early) {
   const MachineContact& contact = machine->contact;
-  // Before anything is forgotten, which changes what tells of an earlier term.
-  const double tasks_gone_at = TasksGoneAt(*machine);
+  // Computed first: ForgetMachineContents clears `from_earlier_term`, on which
+  // the result depends.
+  const double tasks_ended_by = TasksEndedBy(*machine);
   attempts_->RemovePlanned(machine);
-  if (context_->now > tasks_gone_at && !machine->attempts.empty()) {
-    context_->Info("worker lease expired: tasks presumed gone",
-                   {{"machine", machine->name}});
+  if (context_->now > tasks_ended_by && !machine->attempts.empty()) {
+    context_->Info(
+        "worker lease expired without renewal; rescheduling the tasks of the "
+        "machine",
+        {{"machine", machine->name}});
     attempts_->ForgetMachineContents(machine);
   }
-  const double long_lost_at =
+  const double late_release_at =
       std::min(contact.last_delivery_proof_at, contact.last_heartbeat_at) +
-      WorkerLeaseS() + kUnreachableReleaseDelayS +
+      MaxTaskSurvivalS() + kUnreachableReleaseDelayS +
       kLongLostWorkerLeases * settings_->worker_lease_s;
-  const bool responses_lost = contact.unreachable || TokenUndelivered(*machine);
-  const bool push_failed =
+  const bool responses_are_lost =
+      contact.unreachable || IsTokenUndelivered(*machine);
+  // The silence has lasted long enough for a push to have failed.
+  const bool push_has_failed =
       context_->now - contact.last_heartbeat_at > UnreachableThresholdS();
-  if ((may_return_early || !machine->lifecycle.identity_confirmed) &&
-      responses_lost)
+  if ((may_release_early || !machine->lifecycle.identity_confirmed) &&
+      responses_are_lost)
     autoscaler_->Release(machine, ReleaseReason::kUnreachable);
-  else if (may_return_early && push_failed)
+  else if (may_release_early && push_has_failed)
     autoscaler_->Release(machine, ReleaseReason::kSilent);
-  else if (context_->now > tasks_gone_at && context_->now > long_lost_at)
+  else if (context_->now > tasks_ended_by && context_->now > late_release_at)
     autoscaler_->Release(machine, ReleaseReason::kLongUnreachable);
 }
 
@@ -213,9 +226,10 @@
   push.address = machine->address;
   push.fencing_token = election_->term();
   push.incarnation = machine->contact.applied.incarnation;
+  const uint64_t push_generation = term_generation_;
   const auto on_result = [this, name = machine->name,
-                          generation = generation_](const PushResult& result) {
-    if (generation == generation_) OnPushResult(name, result);
+                          push_generation](const PushResult& result) {
+    if (push_generation == term_generation_) OnPushResult(name, result);
   };
   context_->PushCommands(std::move(push), on_result);
 }
@@ -225,7 +239,7 @@
   Machine* machine = machines_->Find(name);
   if (!machine) return;
   machine->contact.push_in_flight = false;
-  // Another machine may have been given the address meanwhile.
+  // The address may have been reassigned to another machine since the push.
   if (!result.answered || result.heartbeat.machine != name) {
     ++machine->contact.unanswered_pushes;
     return;
--- a/src/core/workers/health_monitor.h
+++ b/src/core/workers/health_monitor.h
@@ -1,6 +1,6 @@
-// Watches which machines the leader can reach: pushes its fencing token to
-// silent ones, returns those that are gone, and resigns when most machines are
-// out of reach.
+// Monitors which machines the leader can reach: pushes its fencing token to
+// silent machines, releases lost ones, and resigns when most machines are
+// unreachable.
 #pragma once
 
 #include <cstdint>
@@ -29,68 +29,76 @@
         reconciler_(reconciler),
         attempts_(attempts) {}
 
-  // A new term begins; the answers to pushes of the last one are ignored.
+  // Starts a new term. Answers to pushes of the previous term are ignored.
   void OnTermStarted();
   // Checks all machines. This node may have resigned on return.
   void CheckMachines();
-  // No input was handled for `gap_s` seconds. Guards against taking a pause of
-  // this process for the machines' silence. Their leases expire all the same,
-  // so the time of the latest response stays as it is.
+  // This process handled no input for `gap_s` seconds. Moves the contact times
+  // forward so that the pause does not count as silence of the machines. The
+  // worker leases expired during the pause too, so the time of the latest
+  // response is not moved.
   void OnProcessPause(double gap_s);
-  // A machine that has been silent for so long (s) was pushed the token, and
-  // did not respond.
+  // A machine that has been silent for longer (s) was pushed the token and did
+  // not respond.
   double UnreachableThresholdS() const;
 
  private:
-  // Machines by how well they are in contact.
-  struct Census {
-    int expected = 0;           // should send heartbeats
-    int silent = 0;             // of them: no contact for SilenceThresholdS
-    int recently_quiet = 0;     // of them: none for kFastResignHeartbeats
+  // Numbers of machines by their contact with this leader.
+  struct ContactCounts {
+    int expected = 0;  // machines that should send heartbeats
+    // Of the expected ones: unreachable, or no contact for SilenceThresholdS().
+    int silent = 0;
+    // Of the expected ones: no contact for kFastResignHeartbeats intervals.
+    int without_recent_contact = 0;
     int blocking_recovery = 0;  // see BlocksRecovery
   };
-  // Which machines may be returned before their worker lease has expired.
-  // Returning a machine proves that its tasks have ended, and costs their work
-  // if it was only cut off. Guards against returning many machines for a fault
-  // of this node's own network.
-  struct EarlyReturns {
+  // Which machines may be released before their worker lease has expired.
+  // Releasing a machine proves that its tasks have ended, but loses their work
+  // if the machine was only cut off. The limits prevent this node from
+  // releasing many machines because of a fault in its own network.
+  struct EarlyReleases {
     bool silent = false;
     bool blocking_recovery = false;
   };
 
-  // Without contact for longer (s) a machine is silent.
+  // A machine without contact for longer than this (s) is silent.
   double SilenceThresholdS() const {
     return kSilentHeartbeats * settings_->heartbeat_interval_s;
   }
-  // After the latest response a worker keeps its tasks no longer than this (s).
-  double WorkerLeaseS() const {
+  // The longest time (s) that a worker runs its tasks after the latest
+  // response: its lease with clock drift, plus the time to stop the tasks.
+  double MaxTaskSurvivalS() const {
     return settings_->worker_lease_s * (1 + kClockDrift) + kWorkerStopS;
   }
-  // Until then (steady clock, s) responses of an earlier leader may have kept a
-  // worker's tasks alive.
-  double EarlierTermTasksUntil() const;
-  // From then on (steady clock, s) the machine's tasks have ended.
-  double TasksGoneAt(const Machine& machine) const;
+  // The time (steady clock, s) by which the tasks of earlier terms have ended
+  // on every worker, even if an earlier leader renewed its lease.
+  double EarlierTermTasksEndedBy() const;
+  // The time (steady clock, s) by which the machine's tasks have ended.
+  double TasksEndedBy(const Machine& machine) const;
 
-  Census TakeCensus();
+  // Also marks machines that have become unreachable.
+  ContactCounts UpdateContactCounts();
   void DetectUnreachable(Machine* machine) const;
-  // No inventory entry confirms a record from an earlier term. Guards against
-  // resigning over and over because of records without a machine.
+  // Whether the machine is known only from a record of an earlier term and the
+  // cloud's inventory does not list it. Such records do not count as silent
+  // machines, because the leader would resign again and again.
   bool IsRecordWithoutMachine(const Machine& machine) const;
-  bool MostMachinesSilent(const Census& census) const;
-  static EarlyReturns AllowedEarlyReturns(const Census& census);
+  bool MostMachinesSilent(const ContactCounts& counts) const;
+  static EarlyReleases AllowedEarlyReleases(const ContactCounts& counts);
 
-  void Check(Machine* machine, const EarlyReturns& early_returns);
+  void CheckMachine(Machine* machine, const EarlyReleases& early_releases);
   bool IsSilent(const Machine& machine) const;
   bool NeedsTokenPush(const Machine& machine) const;
-  bool OutlivedEarlierTerm(const Machine& machine) const;
-  // It may hold tasks of an earlier term, neither reports nor answers pushes,
-  // and so blocks the start of tasks that may run there.
+  bool EarlierTermTasksHaveEnded(const Machine& machine) const;
+  // Whether the machine may hold tasks of an earlier term but neither sends
+  // heartbeats nor answers pushes. The tasks that may run there cannot be
+  // started elsewhere until this is settled.
   bool BlocksRecovery(const Machine& machine) const;
-  // It has reported and was answered, but for long has not acknowledged the
-  // token: nothing reaches it, or its report was a delayed duplicate.
-  bool TokenUndelivered(const Machine& machine) const;
-  void HandleLostContact(Machine* machine, bool may_return_early);
+  // Whether the machine has reported and was answered, but has not acknowledged
+  // the token within UnreachableThresholdS(): either no message reaches it, or
+  // its report was a delayed duplicate.
+  bool IsTokenUndelivered(const Machine& machine) const;
+  void HandleLostContact(Machine* machine, bool may_release_early);
   void PushToken(Machine* machine);
   void OnPushResult(const std::string& name, const PushResult& result);
 
@@ -101,7 +109,7 @@
   const ClusterSettings* settings_;
   Reconciler* reconciler_;
   AttemptTracker* attempts_;
-  uint64_t generation_ = 0;  // raised with each term
+  uint64_t term_generation_ = 0;  // incremented with each term
   double term_started_at_ = 0;
 };
 
--- a/src/core/workers/heartbeat_handler.cc
+++ b/src/core/workers/heartbeat_handler.cc
@@ -8,13 +8,13 @@
 
 constexpr int kServiceUnavailable = 503;
 
-// No newer than a heartbeat that was answered. Guards against a delayed
-// duplicate that makes a worker's lease seem to be renewed.
+// Whether the heartbeat is no newer than the latest answered one. Answering a
+// delayed duplicate would make the worker's lease appear to be renewed.
 bool IsDuplicate(const Machine& machine, const Heartbeat& heartbeat) {
   return heartbeat.id() <= machine.contact.answered;
 }
 
-// Nothing has been answered in this term.
+// Whether no heartbeat of the machine has been answered in this term.
 bool IsFirstOfTerm(const Machine& machine) {
   return machine.contact.answered.sequence == 0;
 }
@@ -33,7 +33,7 @@
   return response;
 }
 
-void HeartbeatHandler::Refuse(HeartbeatResponse response) {
+void HeartbeatHandler::RespondUnavailable(HeartbeatResponse response) {
   response.status = kServiceUnavailable;
   context_->out.push_back(std::move(response));
 }
@@ -41,7 +41,7 @@
 void HeartbeatHandler::HandleDuringRecovery(uint64_t request,
                                             const Heartbeat& heartbeat) {
   HeartbeatResponse response = NewResponse(request);
-  response.commands = commands_->StopsForEndedJobs(heartbeat);
+  response.commands = commands_->SelectStopsForEndedJobs(heartbeat);
   context_->out.push_back(std::move(response));
 }
 
@@ -49,34 +49,34 @@
   HeartbeatResponse response = NewResponse(request);
   Machine* machine = FindOrAdd(heartbeat);
   if (!machine || IsDuplicate(*machine, heartbeat)) {
-    Refuse(std::move(response));
+    RespondUnavailable(std::move(response));
     return;
   }
   RecordDeliveryProof(machine, heartbeat);
-  // The answer to a push may have overtaken this heartbeat.
+  // A newer report may already have arrived as the answer to a push.
   const bool is_latest = heartbeat.id() > machine->contact.applied;
   if (is_latest)
     reconciler_->Apply(machine, heartbeat, HeartbeatChannel::kHeartbeat);
   if (machine->contact.unreachable) {
-    // Not answered, so that its lease is known to expire.
-    Refuse(std::move(response));
+    // Refused, so that the worker's lease is certain to expire.
+    RespondUnavailable(std::move(response));
     return;
   }
   machine->contact.answered = heartbeat.id();
   machine->contact.last_answered_at = context_->now;
   response.commands = is_latest && IsFromThisTerm(heartbeat)
                           ? PlaceAndSelectCommands(machine, heartbeat)
-                          : commands_->StopsForEndedJobs(heartbeat);
+                          : commands_->SelectStopsForEndedJobs(heartbeat);
   context_->out.push_back(std::move(response));
 }
 
 Machine* HeartbeatHandler::FindOrAdd(const Heartbeat& heartbeat) {
   Machine* machine = machines_->Find(heartbeat.machine);
   if (machine || machines_->IsGone(heartbeat.machine)) return machine;
-  // Either the cloud's inventory does not list it yet, or this is a delayed
-  // duplicate of a heartbeat of a machine that is gone. It is given nothing
-  // before it acknowledges the token, and HealthMonitor returns it if it does
-  // not.
+  // Either the cloud's inventory does not list the machine yet, or this is a
+  // delayed duplicate of a heartbeat of a machine that is gone. The machine
+  // receives no tasks until it acknowledges the token, and HealthMonitor
+  // releases it if it does not.
   machine = machines_->Add(heartbeat.machine);
   machine->type_name = heartbeat.type;
   machine->type = autoscaler_->FindType(heartbeat.type);
@@ -89,10 +89,10 @@
   return heartbeat.fencing_token == election_->term();
 }
 
-// A worker sends one heartbeat at a time, and the next one to another node when
-// it got no response: two in a row to this node prove that the response to the
-// first arrived. Delayed duplicates may come in a row too, but none carries
-// this term's token.
+// A worker has one heartbeat in flight at a time, and sends the next one to
+// another node if it received no response. Two consecutive heartbeats to this
+// node therefore prove that the response to the first one arrived. Delayed
+// duplicates may be consecutive too, but do not carry this term's token.
 bool HeartbeatHandler::ProvesDelivery(const Machine& machine,
                                       const Heartbeat& heartbeat) const {
   return IsFromThisTerm(heartbeat) &&
@@ -102,19 +102,19 @@
 void HeartbeatHandler::RecordDeliveryProof(Machine* machine,
                                            const Heartbeat& heartbeat) {
   MachineContact& contact = machine->contact;
-  const bool proved =
+  const bool is_proved =
       ProvesDelivery(*machine, heartbeat) || IsFirstOfTerm(*machine);
-  if (proved) contact.last_delivery_proof_at = context_->now;
-  // After a long silence the time without proof is counted anew: the machine
-  // was cut off both ways, which does not make it unreachable now.
+  if (is_proved) contact.last_delivery_proof_at = context_->now;
+  // The time without proof starts again after a long silence: the machine was
+  // cut off in both directions, which does not mean that it is unreachable now.
   const bool was_silent = context_->now - contact.last_heartbeat_at >
                           health_monitor_->UnreachableThresholdS();
-  if (proved || was_silent) contact.delivery_unproven_since = context_->now;
+  if (is_proved || was_silent) contact.delivery_unproven_since = context_->now;
 }
 
 std::vector<Command> HeartbeatHandler::PlaceAndSelectCommands(
     Machine* machine, const Heartbeat& heartbeat) {
-  unreconciled_->ReserveIn(placement_);
+  unreconciled_->ReserveCapacityIn(placement_);
   placement_->FillMachine(machine, election_->term());
   return commands_->Select(machine, heartbeat);
 }
--- a/src/core/workers/heartbeat_handler.h
+++ b/src/core/workers/heartbeat_handler.h
@@ -32,18 +32,19 @@
         health_monitor_(health_monitor),
         unreconciled_(unreconciled) {}
 
-  // Applies the heartbeat and responds: with 200 and commands, which renews the
-  // worker's lease, or with 503. `request` names the connection to answer.
+  // Applies the heartbeat and responds either with 200 and commands, which
+  // renews the worker's lease, or with 503. `request` identifies the connection
+  // to answer.
   void Handle(uint64_t request, const Heartbeat& heartbeat);
-  // Responds while the leader's records are not read yet: the worker keeps its
-  // tasks, other than those of ended jobs, and is given none.
+  // Responds while the leader has not read its records yet. The worker keeps
+  // its tasks, except those of ended jobs, and receives no new ones.
   void HandleDuringRecovery(uint64_t request, const Heartbeat& heartbeat);
 
  private:
   HeartbeatResponse NewResponse(uint64_t request) const;
-  void Refuse(HeartbeatResponse response);
-  // The machine that reports, which is added if it was unknown; null if it is
-  // gone.
+  void RespondUnavailable(HeartbeatResponse response);
+  // The reporting machine, which is added if it is unknown; null if the machine
+  // is known to be gone.
   Machine* FindOrAdd(const Heartbeat& heartbeat);
   bool IsFromThisTerm(const Heartbeat& heartbeat) const;
   bool ProvesDelivery(const Machine& machine, const Heartbeat& heartbeat) const;
--- a/src/core/workers/machine_recorder.h
+++ b/src/core/workers/machine_recorder.h
@@ -1,4 +1,4 @@
-// Writes the records of machines to the state service.
+// Writes machine records to the state service.
 #pragma once
 
 #include "core/autoscaling/autoscaler.h"
@@ -13,10 +13,9 @@
                   Autoscaler* autoscaler)
       : machines_(machines), writer_(writer), autoscaler_(autoscaler) {}
 
-  // Writes the machine's record, unless that is under way already or its type
-  // is unknown yet. Nothing is started on the machine before the record is
-  // committed: guards against a later leader that does not know of the tasks
-  // there.
+  // Writes the machine's record, unless a write is already in flight or its
+  // type is not known yet. No task is started on the machine before the record
+  // is committed; otherwise a later leader might not know of the tasks there.
   void Record(Machine* machine);
 
  private:
--- a/src/core/workers/preemption_notices.h
+++ b/src/core/workers/preemption_notices.h
@@ -1,4 +1,4 @@
-// Reacts to the cloud's notice that it will reclaim a preemptible machine.
+// Handles the cloud's notices that it will reclaim a preemptible machine.
 #pragma once
 
 #include "core/engine/context.h"
@@ -12,15 +12,16 @@
   PreemptionNotices(Context* context, JobTable* jobs)
       : context_(context), jobs_(jobs) {}
 
-  // The cloud reclaims the machine in `notice_s` seconds. Only the first notice
-  // counts. Tasks that are likely to end in time run on; the others are told to
-  // stop, with time for a checkpoint where there is enough. Replicas are left
-  // to ReplicaManager, which moves them once there is a place elsewhere.
+  // The cloud reclaims the machine in `notice_s` seconds. Later notices for the
+  // same machine are ignored. Tasks that are likely to end in time keep
+  // running. The others are stopped, with a grace period for a checkpoint if
+  // the time suffices. ReplicaManager moves the replicas once there is capacity
+  // for them elsewhere.
   void OnNotice(Machine* machine, double notice_s);
 
  private:
   bool LikelyEndsWithin(const Job& job, const TaskAttempt& attempt,
-                        double left_s) const;
+                        double remaining_s) const;
 
   Context* context_;
   JobTable* jobs_;
--- a/src/core/workers/quarantine.cc
+++ b/src/core/workers/quarantine.cc
@@ -4,19 +4,21 @@
 
 namespace sorrelwood {
 
-bool Quarantine::Evidence::MachineAtFault() const {
+bool Quarantine::Evidence::ProvesMachineFault() const {
   return errors_of_succeeding_jobs >= kQuarantineErrors;
 }
 
-bool Quarantine::Evidence::Suffices() const {
-  return MachineAtFault() || jobs_not_succeeded_yet >= kQuarantineFailingJobs;
+bool Quarantine::Evidence::JustifiesQuarantine() const {
+  return ProvesMachineFault() ||
+         jobs_not_succeeded_yet >= kQuarantineFailingJobs;
 }
 
 Quarantine::Evidence Quarantine::CollectEvidence(const Machine& machine) const {
   Evidence evidence;
   for (const auto& [id, errors] : machine.health.errors) {
     const Job* job = jobs_->Find(id);
-    // The job has ended, so who was at fault is unknown, or it was the job.
+    // Either the job has ended, so the cause is unknown, or the job is at
+    // fault.
     if (!job || job->broken()) continue;
     if (job->succeeded())
       evidence.errors_of_succeeding_jobs += errors;
@@ -29,19 +31,23 @@
 void Quarantine::Reassess(Machine* machine) {
   MachineHealth& health = machine->health;
   const Evidence evidence = CollectEvidence(*machine);
-  const bool quarantined = evidence.Suffices();
-  if (evidence.MachineAtFault()) health.suspect_until = 0;
-  if (quarantined == health.quarantined) return;
-  health.quarantined = quarantined;
-  if (quarantined)
-    context_->Info("machine quarantined: its tasks fail",
-                   {{"machine", machine->name}});
+  const bool should_quarantine = evidence.JustifiesQuarantine();
+  if (evidence.ProvesMachineFault()) health.suspect_until = 0;
+  if (should_quarantine == health.quarantined) return;
+  health.quarantined = should_quarantine;
+  if (should_quarantine)
+    context_->Info(
+        "machine quarantined because tasks fail on it; it receives no new "
+        "tasks",
+        {{"machine", machine->name}});
   else
-    context_->Info("machine back from quarantine: the jobs were at fault",
-                   {{"machine", machine->name}});
-  if (quarantined && !evidence.MachineAtFault())
+    context_->Info(
+        "quarantine ended because failures no longer indicate a machine "
+        "fault; the machine receives tasks again",
+        {{"machine", machine->name}});
+  if (should_quarantine && !evidence.ProvesMachineFault())
     health.suspect_until = context_->now + kSuspectMachineAvoidS;
-  if (evidence.MachineAtFault()) StopAllAttempts(machine);
+  if (evidence.ProvesMachineFault()) StopAllAttempts(machine);
 }
 
 void Quarantine::StopAllAttempts(Machine* machine) const {
--- a/src/core/workers/quarantine.h
+++ b/src/core/workers/quarantine.h
@@ -1,7 +1,7 @@
-// Quarantines machines on which tasks fail: they are given no tasks, and are
-// released in the end. Guards against a faulty machine on which every task of
-// the queue fails in turn, and against jobs that fail everywhere and would take
-// good machines out of service with them.
+// Quarantines machines on which tasks fail: they receive no new tasks and are
+// eventually released. Otherwise all queued tasks could fail on a faulty
+// machine one after the other. Jobs that fail on every machine are disregarded,
+// so that they do not put healthy machines out of service.
 #pragma once
 
 #include <cstddef>
@@ -17,22 +17,22 @@
   Quarantine(Context* context, JobTable* jobs)
       : context_(context), jobs_(jobs) {}
 
-  // Puts the machine into quarantine or takes it out, by the failures that are
-  // counted against it.
+  // Starts or ends the machine's quarantine according to the failures that
+  // count against it.
   void Reassess(Machine* machine);
 
  private:
-  // Failures on one machine, without those of jobs that fail everywhere.
+  // Failures on one machine, without those of jobs that fail on every machine.
   struct Evidence {
-    int errors_of_succeeding_jobs = 0;  // jobs that succeed elsewhere
-    size_t jobs_not_succeeded_yet = 0;  // job or machine may be at fault
+    int errors_of_succeeding_jobs = 0;  // of jobs that succeed elsewhere
+    size_t jobs_not_succeeded_yet = 0;  // the job or the machine is at fault
 
-    bool MachineAtFault() const;
-    bool Suffices() const;
+    bool ProvesMachineFault() const;
+    bool JustifiesQuarantine() const;
   };
   Evidence CollectEvidence(const Machine& machine) const;
-  // Told to stop, so that they run elsewhere; with time to save where the job
-  // saves checkpoints.
+  // Stops the attempts so that their tasks run elsewhere, with a grace period
+  // if the job saves checkpoints.
   void StopAllAttempts(Machine* machine) const;
 
   Context* context_;
--- a/src/core/workers/reconciler.cc
+++ b/src/core/workers/reconciler.cc
@@ -9,13 +9,13 @@
 namespace sorrelwood {
 namespace {
 
-// A start command that was sent as a response longer ago (s) has arrived or is
-// lost, even if the worker answered a push meanwhile.
-constexpr double kStartInFlightS =
+// A start command that was sent in a response longer ago than this (s) has
+// either arrived or is lost, even if the worker answered a push in between.
+constexpr double kMaxStartCommandDelayS =
     kHeartbeatAnswerTimeoutS + kPushTimeoutS + kWorkerLeaseMarginS;
 
-// Whether the worker sent the heartbeat after it had received, or given up
-// waiting for, the response that carried the start command.
+// Whether the worker sent the heartbeat after it had received the response with
+// the start command, or had stopped waiting for it.
 bool SentAfterDispatch(const HeartbeatId& heartbeat,
                        const TaskAttempt& attempt) {
   const HeartbeatId& answered = attempt.dispatched_in_response_to;
@@ -23,11 +23,11 @@
          heartbeat.sequence > answered.sequence;
 }
 
-// Completions that the worker no longer reports need not be tracked.
+// Drops completions that the worker no longer reports.
 void ForgetUnreportedCompletions(Machine* machine,
                                  const std::set<TaskId>& reported) {
-  std::erase_if(machine->unrecorded_completions, [&](const auto& item) {
-    return reported.count(item.first) == 0;
+  std::erase_if(machine->unrecorded_completions, [&](const auto& completion) {
+    return reported.count(completion.first) == 0;
   });
 }
 
@@ -42,8 +42,8 @@
   }
   const bool from_this_term = heartbeat.fencing_token == election_->term();
   if (from_this_term) machine->lifecycle.identity_confirmed = true;
-  // Where the identity is known from elsewhere the record is written while the
-  // worker is still to acknowledge the token.
+  // If the identity is confirmed by other means, the record is written before
+  // the worker acknowledges the token.
   if (machine->lifecycle.identity_confirmed && !machine->lifecycle.recorded)
     recorder_->Record(machine);
   if (from_this_term)
@@ -76,8 +76,9 @@
   machine->contact.applied = {incarnation, 0};
 }
 
-// Guards against a delayed duplicate of a report to an earlier leader: only one
-// with this term's token is known to be recent. A result stays true for ever.
+// A report without this term's token may be a delayed duplicate of a report to
+// an earlier leader, so its view of running tasks may be outdated. A completion
+// never becomes outdated.
 void Reconciler::ApplyCompletions(Machine* machine,
                                   const Heartbeat& heartbeat) {
   for (const TaskStatus& task : heartbeat.tasks)
@@ -109,37 +110,39 @@
     if (reported.count(id) == 0 && ProvesAbsence(attempt, heartbeat, channel))
       absent.push_back(id);
   for (const TaskId& id : absent) {
-    // The removal of one attempt may have removed another.
-    const auto it = machine->attempts.find(id);
-    if (it != machine->attempts.end()) attempts_->Remove(machine, it);
+    // Removing one attempt may also have removed another.
+    const auto attempt_entry = machine->attempts.find(id);
+    if (attempt_entry != machine->attempts.end())
+      attempts_->Remove(machine, attempt_entry);
   }
 }
 
 bool Reconciler::ProvesAbsence(const TaskAttempt& attempt,
                                const Heartbeat& heartbeat,
                                HeartbeatChannel channel) const {
-  const bool pushed = channel == HeartbeatChannel::kPushResponse;
+  const bool is_push_response = channel == HeartbeatChannel::kPushResponse;
   switch (attempt.phase) {
     case AttemptPhase::kPlanned: return false;
     case AttemptPhase::kDispatched:
-      // The response to a push may have been written while the start command
-      // was still on its way.
+      // The worker may have answered a push while the start command was still
+      // in transit.
       return SentAfterDispatch(heartbeat.id(), attempt) &&
-             (!pushed ||
-              context_->now - attempt.dispatched_at > kStartInFlightS);
-    case AttemptPhase::kConfirmed: return !pushed;
+             (!is_push_response ||
+              context_->now - attempt.dispatched_at > kMaxStartCommandDelayS);
+    case AttemptPhase::kConfirmed: return !is_push_response;
   }
   return false;
 }
 
-// Only now is the report complete: before, the worker could still accept a
-// start command of an earlier leader.
+// From now on the worker's reports are complete. Before, it could still accept
+// a start command of an earlier leader.
 void Reconciler::AcknowledgeToken(Machine* machine) {
   machine->lifecycle.token_acknowledged = true;
   machine->lifecycle.from_earlier_term = false;
-  // Until now an earlier leader may have renewed the worker's lease. Guards
-  // against presuming its tasks gone while they run, where the token was pushed
-  // to a worker that reports to another node and then falls silent.
+  // Until now an earlier leader may have renewed the worker's lease, so the
+  // lease is counted from now. Otherwise its tasks could be considered ended
+  // while they still run, if the token was pushed to a worker that sends its
+  // heartbeats to another node and then becomes silent.
   machine->contact.last_answered_at = context_->now;
   machine->contact.delivery_unproven_since =
       machine->contact.last_delivery_proof_at = context_->now;
--- a/src/core/workers/reconciler.h
+++ b/src/core/workers/reconciler.h
@@ -1,4 +1,5 @@
-// Reconciles what a machine reports with what the leader believes to be there.
+// Reconciles the reports of a machine with the attempts that the leader tracks
+// there.
 #pragma once
 
 #include <set>
@@ -14,10 +15,10 @@
 
 namespace sorrelwood {
 
-// How a report came.
+// The channel through which a report arrived.
 enum class HeartbeatChannel {
-  kHeartbeat,     // sent by the worker, whose response carries commands
-  kPushResponse,  // in response to commands pushed to the worker's address
+  kHeartbeat,     // sent by the worker; the response carries commands
+  kPushResponse,  // the answer to commands pushed to the worker's address
 };
 
 class Reconciler {
@@ -34,27 +35,27 @@
         preemption_notices_(preemption_notices),
         unreconciled_(unreconciled) {}
 
-  // Applies a report that is newer than any that was applied before. A token of
-  // a later term ends this one: then all machines are forgotten, and `machine`
-  // is invalid on return.
+  // Applies a report, which must be newer than any applied before. A token of a
+  // later term ends this leader's term: all machines are then removed, and
+  // `machine` is invalid on return.
   void Apply(Machine* machine, const Heartbeat& heartbeat,
              HeartbeatChannel channel);
 
  private:
   void RecordContact(Machine* machine, const Heartbeat& heartbeat,
                      HeartbeatChannel channel);
-  // The worker has started anew: it has killed and forgotten all its tasks.
+  // The worker has restarted, and has killed and forgotten all its tasks.
   void OnNewIncarnation(Machine* machine, uint64_t incarnation);
-  // Takes only results from a report without this term's token.
+  // Applies only the completions of a report without this term's token.
   void ApplyCompletions(Machine* machine, const Heartbeat& heartbeat);
-  // Takes the report as the complete state of the machine.
+  // Treats the report as the complete state of the machine.
   void ApplyCompleteState(Machine* machine, const Heartbeat& heartbeat,
                           HeartbeatChannel channel);
   // Removes tracked attempts that the report proves to be absent.
   void RemoveAbsent(Machine* machine, const Heartbeat& heartbeat,
                     HeartbeatChannel channel, const std::set<TaskId>& reported);
-  // Whether a report without the attempt proves that its start command was lost
-  // or that it has ended since.
+  // Whether a report that does not contain the attempt proves that the start
+  // command was lost or that the attempt has ended.
   bool ProvesAbsence(const TaskAttempt& attempt, const Heartbeat& heartbeat,
                      HeartbeatChannel channel) const;
   void AcknowledgeToken(Machine* machine);
--- a/src/core/workers/task_outcomes.cc
+++ b/src/core/workers/task_outcomes.cc
@@ -4,14 +4,14 @@
 
 namespace sorrelwood {
 
-TaskOutcomes::EndedAttempt TaskOutcomes::Describe(
+TaskOutcomes::EndedAttempt TaskOutcomes::SummarizeAttempt(
     const TaskAttempt* attempt) const {
   EndedAttempt ended;
   if (!attempt) return ended;
-  ended.tracked = true;
+  ended.was_tracked = true;
   ended.requeue_for_baseline = attempt->requeue_for_baseline;
   ended.requeue_on_rented = attempt->requeue_on_rented;
-  ended.told_to_stop = attempt->stop;
+  ended.stop_requested = attempt->stop;
   if (attempt->running_since > 0)
     ended.ran_s = context_->now - attempt->running_since;
   return ended;
@@ -21,32 +21,33 @@
                           TaskAttempt* attempt) {
   Job* job = jobs_->Find(task.job);
   const bool is_service = job && job->spec().IsService();
-  const EndedAttempt ended = Describe(attempt);
-  // Before the attempt is removed, so that a task that was about to move and
-  // has completed instead is not started elsewhere.
+  const EndedAttempt ended = SummarizeAttempt(attempt);
+  // Must precede the removal of the attempt: otherwise a task that completes
+  // while the rebalancer moves it would be started on the target machine.
   if (task.reason == ExitReason::kDone && job && !is_service)
     rebalancer_->TaskDone(task.job, task.task);
-  if (ended.tracked)
+  if (ended.was_tracked)
     attempts_->Remove(machine, machine->attempts.find({task.job, task.task}));
-  if (ended.tracked && is_service && !ended.told_to_stop &&
+  if (ended.was_tracked && is_service && !ended.stop_requested &&
       task.reason != ExitReason::kStopped)
     replicas_->Ended(job, task.task, ended.ran_s);
   switch (task.reason) {
-    case ExitReason::kDone: OnDone(machine, job, task, ended.ran_s); return;
+    case ExitReason::kDone: OnExitDone(machine, job, task, ended.ran_s); return;
     case ExitReason::kError: {
-      // A replica that ran well before it failed says nothing of its machine.
-      const bool ran_well = is_service && ended.ran_s >= kReplicaStableS;
-      if (ended.tracked && job && !ran_well)
+      // The failure of a replica that had been stable does not count against
+      // its machine.
+      const bool was_stable = is_service && ended.ran_s >= kReplicaStableS;
+      if (ended.was_tracked && job && !was_stable)
         failures_->OnTaskFailed(machine, job, task.task);
       return;
     }
     case ExitReason::kNoRoom:
     case ExitReason::kBusy:
-      if (ended.tracked)
+      if (ended.was_tracked)
         machine->health.refused_until = context_->now + kRefusedStartPauseS;
       return;
     case ExitReason::kUnknown:
-      if (ended.tracked && job)
+      if (ended.was_tracked && job)
         job->failures.retry_at = context_->now + kJobRetryPauseS;
       return;
     case ExitReason::kStopped:
@@ -56,23 +57,23 @@
   }
 }
 
-void TaskOutcomes::OnDone(Machine* machine, Job* job, const TaskStatus& task,
-                          double ran_s) {
+void TaskOutcomes::OnExitDone(Machine* machine, Job* job,
+                              const TaskStatus& task, double ran_s) {
   if (!job || task.task >= job->spec().tasks) return;
-  // A replica is never complete: it runs until its job is cancelled.
+  // A replica never completes: it runs until its job is cancelled.
   if (job->spec().IsService()) return;
-  // A task with checkpoints may have run only what was left of it, so its run
-  // time is no sample.
+  // A task with checkpoints may have resumed from one, so its run time is not a
+  // valid sample.
   if (ran_s > 0 && job->spec().checkpoint_s == 0) {
     jobs_->LearnRunTime(job->spec(), ran_s);
     rebalancer_->LearnRunTime(job->id(), machine->name, ran_s);
   }
   failures_->OnTaskSucceeded(machine);
   machine->unrecorded_completions[{task.job, task.task}] = task.attempt;
-  OnCompleted(job, task.task);
+  MarkCompleted(job, task.task);
 }
 
-void TaskOutcomes::OnCompleted(Job* job, uint32_t task) {
+void TaskOutcomes::MarkCompleted(Job* job, uint32_t task) {
   if (job->progress.done.Contains(task)) return;
   jobs_->MarkDone(job, task);
   failures_->OnTaskSucceeded(job);
@@ -84,12 +85,13 @@
 }
 
 void TaskOutcomes::StopOtherAttempt(const Job& job, uint32_t task) {
-  const auto placed = job.progress.machine_of_task.find(task);
-  if (placed == job.progress.machine_of_task.end()) return;
-  Machine* machine = machines_->Find(placed->second);
+  const auto placement = job.progress.machine_of_task.find(task);
+  if (placement == job.progress.machine_of_task.end()) return;
+  Machine* machine = machines_->Find(placement->second);
   if (!machine) return;
-  const auto it = machine->attempts.find({job.id(), task});
-  if (it != machine->attempts.end()) it->second.stop = true;
+  const auto attempt_entry = machine->attempts.find({job.id(), task});
+  if (attempt_entry != machine->attempts.end())
+    attempt_entry->second.stop = true;
 }
 
 void TaskOutcomes::MarkRequeued(Job* job, uint32_t task,
--- a/src/core/workers/task_outcomes.h
+++ b/src/core/workers/task_outcomes.h
@@ -1,5 +1,6 @@
-// What follows when a task attempt has exited: by its exit reason the task is
-// completed, retried or held back, and the machine or the job blamed.
+// Handles the exit of a task attempt. The exit reason decides whether the task
+// is completed, retried at once or retried later, and whether the exit counts
+// as a failure of the job or the machine.
 #pragma once
 
 #include <cstdint>
@@ -32,25 +33,28 @@
         completions_(completions),
         job_finisher_(job_finisher) {}
 
-  // The machine reports that the attempt has exited. `attempt`: as tracked
-  // here, which it is no longer on return; null where it is not tracked.
+  // Handles the machine's report that the attempt has exited. `attempt` is the
+  // tracked attempt, which is removed and invalid on return, or null if the
+  // attempt is not tracked.
   void OnExit(Machine* machine, const TaskStatus& task, TaskAttempt* attempt);
 
  private:
-  // What remains of interest of an attempt once it is removed.
+  // The properties of an attempt that are needed after its removal.
   struct EndedAttempt {
-    bool tracked = false;
+    bool was_tracked = false;
     bool requeue_for_baseline = false, requeue_on_rented = false;
-    bool told_to_stop = false;
+    bool stop_requested = false;
     double ran_s = 0;
   };
-  EndedAttempt Describe(const TaskAttempt* attempt) const;
-  void OnDone(Machine* machine, Job* job, const TaskStatus& task, double ran_s);
-  void OnCompleted(Job* job, uint32_t task);
-  // Stops another attempt of a task that has completed, if there is one.
+  EndedAttempt SummarizeAttempt(const TaskAttempt* attempt) const;
+  // Handles an attempt that exited with kDone.
+  void OnExitDone(Machine* machine, Job* job, const TaskStatus& task,
+                  double ran_s);
+  void MarkCompleted(Job* job, uint32_t task);
+  // Stops another attempt of the completed task, if there is one.
   void StopOtherAttempt(const Job& job, uint32_t task);
-  // Marks a task that was stopped at the speculation limit, so that it waits
-  // for baseline capacity or runs on rented capacity.
+  // Marks a task that was stopped at the speculation limit, so that its next
+  // attempt waits for baseline capacity or runs to the end on rented capacity.
   void MarkRequeued(Job* job, uint32_t task, const EndedAttempt& ended) const;
 
   Context* context_;
--- a/src/core/workers/task_status_handler.cc
+++ b/src/core/workers/task_status_handler.cc
@@ -3,19 +3,19 @@
 namespace sorrelwood {
 namespace {
 
-// The attempt that the machine reports, if it is tracked. Another attempt of
-// the same task is not the one that is reported.
-TaskAttempt* FindAttempt(Machine* machine, const TaskStatus& task) {
-  const auto it = machine->attempts.find({task.job, task.task});
-  const bool tracked =
-      it != machine->attempts.end() && it->second.number == task.attempt;
-  return tracked ? &it->second : nullptr;
+// The tracked attempt with the reported attempt number; null if the machine has
+// none, even if it has another attempt of the same task.
+TaskAttempt* FindReportedAttempt(Machine* machine, const TaskStatus& task) {
+  const auto attempt_entry = machine->attempts.find({task.job, task.task});
+  const bool is_tracked = attempt_entry != machine->attempts.end() &&
+                          attempt_entry->second.number == task.attempt;
+  return is_tracked ? &attempt_entry->second : nullptr;
 }
 
 }  // namespace
 
 void TaskStatusHandler::Apply(Machine* machine, const TaskStatus& task) {
-  TaskAttempt* attempt = FindAttempt(machine, task);
+  TaskAttempt* attempt = FindReportedAttempt(machine, task);
   if (task.state == TaskState::kExited)
     outcomes_->OnExit(machine, task, attempt);
   else if (attempt)
--- a/src/core/workers/task_status_handler.h
+++ b/src/core/workers/task_status_handler.h
@@ -25,11 +25,11 @@
         replicas_(replicas),
         waiting_(waiting) {}
 
-  // The machine reports the attempt in this state.
+  // Applies the status of an attempt that the machine reports.
   void Apply(Machine* machine, const TaskStatus& task);
 
  private:
-  // The attempt is on the machine, as it was tracked.
+  // Marks a tracked attempt as present on the machine and updates its state.
   void Confirm(Machine* machine, const TaskStatus& task, TaskAttempt* attempt);
   void OnRunning(Machine* machine, const TaskStatus& task,
                  TaskAttempt* attempt);
--- a/src/core/workers/unreconciled_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -6,44 +6,44 @@
 
 namespace sorrelwood {
 
-void UnreconciledMachines::Remove(const std::string& name) {
-  const auto it = shares_.find(name);
-  if (it == shares_.end()) return;
-  from_earlier_term_ -= it->second.from_earlier_term ? 1 : 0;
-  cpus_ -= it->second.cpus;
-  gpus_ -= it->second.gpus;
-  shares_.erase(it);
-  // Rounding errors are not carried over.
-  if (shares_.empty()) cpus_ = gpus_ = 0;
+void UnreconciledMachines::RemoveContribution(const std::string& name) {
+  const auto removed = contributions_.find(name);
+  if (removed == contributions_.end()) return;
+  machines_from_earlier_term_ -= removed->second.from_earlier_term ? 1 : 0;
+  cpus_ -= removed->second.cpus;
+  gpus_ -= removed->second.gpus;
+  contributions_.erase(removed);
+  // Discards accumulated rounding errors.
+  if (contributions_.empty()) cpus_ = gpus_ = 0;
 }
 
 void UnreconciledMachines::Update(const Machine& machine) {
-  Remove(machine.name);
+  RemoveContribution(machine.name);
   if (!machine.lifecycle.from_earlier_term &&
       !with_unknown_tasks_.count(machine.name))
     return;
-  Share share;
-  share.from_earlier_term = machine.lifecycle.from_earlier_term;
-  share.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
-  share.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
-  from_earlier_term_ += share.from_earlier_term ? 1 : 0;
-  cpus_ += share.cpus;
-  gpus_ += share.gpus;
-  shares_[machine.name] = share;
+  Contribution contribution;
+  contribution.from_earlier_term = machine.lifecycle.from_earlier_term;
+  contribution.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
+  contribution.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
+  machines_from_earlier_term_ += contribution.from_earlier_term ? 1 : 0;
+  cpus_ += contribution.cpus;
+  gpus_ += contribution.gpus;
+  contributions_[machine.name] = contribution;
 }
 
 void UnreconciledMachines::Recount(
     const std::map<std::string, std::unique_ptr<Machine>>& machines) {
-  shares_.clear();
-  from_earlier_term_ = 0;
+  contributions_.clear();
+  machines_from_earlier_term_ = 0;
   cpus_ = gpus_ = 0;
   for (const auto& [name, machine] : machines) Update(*machine);
 }
 
 void UnreconciledMachines::Clear() {
-  shares_.clear();
+  contributions_.clear();
   with_unknown_tasks_.clear();
-  from_earlier_term_ = 0;
+  machines_from_earlier_term_ = 0;
   cpus_ = gpus_ = 0;
 }
 
@@ -56,8 +56,9 @@
   if (with_unknown_tasks_.erase(machine.name) > 0) Update(machine);
 }
 
-void UnreconciledMachines::ReserveIn(Placement* placement) const {
-  placement->admission().set_unreconciled(from_earlier_term_, cpus_, gpus_);
+void UnreconciledMachines::ReserveCapacityIn(Placement* placement) const {
+  placement->admission().set_unreconciled(machines_from_earlier_term_, cpus_,
+                                          gpus_);
 }
 
 }  // namespace sorrelwood
--- a/src/core/workers/unreconciled_machines.h
+++ b/src/core/workers/unreconciled_machines.h
@@ -1,8 +1,8 @@
-// Machines that may run tasks which are unknown to this leader: machines of an
+// Tracks machines that may run tasks unknown to this leader: machines of an
 // earlier term that have not acknowledged its fencing token yet, and machines
-// that report tasks of no known job. What they may run counts against every
-// team's limit. Guards against a new leader that takes teams over their limits
-// by starting tasks beside those that an earlier leader started.
+// that report tasks of unknown jobs. The whole capacity of these machines
+// counts against every team's limit. Otherwise a new leader could exceed the
+// limits by starting tasks in addition to those that an earlier leader started.
 #pragma once
 
 #include <map>
@@ -15,36 +15,38 @@
 
 namespace sorrelwood {
 
-// Updates the totals as machines change. After a failover thousands of machines
-// report for the first time: summing over all machines for each report would
-// cost the square of the fleet size.
+// The totals are updated incrementally. After a failover thousands of machines
+// report for the first time, and summing over all machines for each report
+// would be quadratic in the fleet size.
 class UnreconciledMachines {
  public:
-  // Counts the machine by its present state, or no longer.
+  // Adds, updates or removes the machine's contribution according to its
+  // current state.
   void Update(const Machine& machine);
-  // Counts all machines anew, as when their types have become known.
+  // Recomputes the totals, e.g. when the machine types have become known.
   void Recount(const std::map<std::string, std::unique_ptr<Machine>>& machines);
   void Clear();
 
-  // The machine reports a task of no known job.
+  // Records that the machine reports a task of an unknown job.
   void AddUnknownTask(const Machine& machine);
-  // The machine holds no such task any more.
+  // Records that the machine no longer holds tasks of unknown jobs.
   void ForgetUnknownTasks(const Machine& machine);
 
-  // Has the placement hold the capacity that these machines may use.
-  void ReserveIn(Placement* placement) const;
+  // Passes the capacity that these machines may use to the placement, which
+  // counts it against the limits.
+  void ReserveCapacityIn(Placement* placement) const;
 
  private:
-  // What one machine adds to the totals.
-  struct Share {
+  // The contribution of one machine to the totals.
+  struct Contribution {
     bool from_earlier_term = false;
     double cpus = 0, gpus = 0;
   };
-  void Remove(const std::string& name);
+  void RemoveContribution(const std::string& name);
 
-  std::map<std::string, Share> shares_;
+  std::map<std::string, Contribution> contributions_;  // by machine name
   std::set<std::string> with_unknown_tasks_;
-  int from_earlier_term_ = 0;  // machines
+  int machines_from_earlier_term_ = 0;
   double cpus_ = 0, gpus_ = 0;
 };
 
