--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -37,7 +37,7 @@
 
 void JobApi::Submit(uint64_t request, const JobSpec& spec) {
   if (!pending_.Admit(request, RequestKind::kMutation)) return;
-  if (job_cache_->FindFinal(spec.id)) {
+  if (job_cache_->FindFinalState(spec.id)) {
     responses_.AnswerFromCache(request, spec.id);
     return;
   }
@@ -58,14 +58,14 @@
 void JobApi::Record(uint64_t request, std::shared_ptr<const LiveJob> job) {
   const std::string id = job->spec.id;
   std::string record = protocol::EncodeLiveJob(*job);
-  if (record.size() > limits_->value_bytes()) {
+  if (record.size() > limits_->max_value_bytes()) {
     RejectUnlessAccepted(request, id, 400, kTooLargeToStore);
     return;
   }
   // The preconditions make the submission idempotent: neither record exists.
   context_->Transact(
-      StateConnection::kUser, {{keys::Live(id), 0}, {keys::Final(id), 0}},
-      {{false, keys::Live(id), std::move(record), 0}},
+      StateConnection::kUser, {{keys::ForLiveJob(id), 0}, {keys::ForFinalState(id), 0}},
+      {{false, keys::ForLiveJob(id), std::move(record), 0}},
       [this, request, job = std::move(job)](const StateResult& result) {
         OnRecorded(request, job, result);
       });
@@ -128,14 +128,14 @@
     responses_.AnswerUnknownJob(request);
     return false;
   }
-  if (!job_cache_->FindFinal(id)) return true;
+  if (!job_cache_->FindFinalState(id)) return true;
   responses_.AnswerFromCache(request, id);
   return false;
 }
 
 void JobApi::Poll(uint64_t request, const std::string& id) {
   if (!Begin(request, RequestKind::kPoll, id)) return;
-  if (job_cache_->FindLive(id)) {
+  if (job_cache_->FindLiveJob(id)) {
     quorum_reads_.Add(request, id);
     return;
   }
@@ -148,7 +148,7 @@
       StateConnection::kPoll, id, [this, request, id](JobLocation location) {
         if (location == JobLocation::kNoAnswer)
           pending_.AnswerNoState(request);
-        else if (location == JobLocation::kNowhere && !job_cache_->FindLive(id))
+        else if (location == JobLocation::kNowhere && !job_cache_->FindLiveJob(id))
           responses_.AnswerUnknownJob(request);
         else  // found, or accepted since it was looked for
           responses_.AnswerFromCache(request, id);
@@ -157,7 +157,7 @@
 
 void JobApi::Cancel(uint64_t request, const std::string& id) {
   if (!Begin(request, RequestKind::kMutation, id)) return;
-  if (job_cache_->FindLive(id)) {
+  if (job_cache_->FindLiveJob(id)) {
     CancelLive(request, id);
     return;
   }
@@ -166,7 +166,7 @@
                  switch (location) {
                    case JobLocation::kLive:
                      // It may have ended since, and is out of the cache then.
-                     if (job_cache_->FindLive(id)) {
+                     if (job_cache_->FindLiveJob(id)) {
                        CancelLive(request, id);
                        return;
                      }
@@ -187,11 +187,11 @@
 // Committed before it is told. The precondition prevents a job that has been
 // done meanwhile from being told as cancelled.
 void JobApi::CancelLive(uint64_t request, const std::string& id) {
-  const uint64_t version = job_cache_->FindLive(id)->version;
+  const uint64_t version = job_cache_->FindLiveJob(id)->version;
   context_->Transact(
-      StateConnection::kUser, {{keys::Live(id), version}},
-      {{true, keys::Live(id), "", 0},
-       {false, keys::Final(id),
+      StateConnection::kUser, {{keys::ForLiveJob(id), version}},
+      {{true, keys::ForLiveJob(id), "", 0},
+       {false, keys::ForFinalState(id),
         protocol::EncodeFinalState(FinalState::kCancelled), 0}},
       [this, request, id](const StateResult& result) {
         if (result.outcome == Outcome::kOk) {
--- a/src/core/api/job_lookup.cc
+++ b/src/core/api/job_lookup.cc
@@ -9,7 +9,7 @@
 
 void JobLookup::Find(StateConnection connection, const std::string& id,
                      Callback found) {
-  context_->Get(connection, keys::Live(id),
+  context_->Get(connection, keys::ForLiveJob(id),
                 [this, connection, id,
                  found = std::move(found)](const StateResult& result) {
                   if (result.outcome == Outcome::kOk && !result.items.empty()) {
@@ -27,7 +27,7 @@
 void JobLookup::FindFinal(StateConnection connection, const std::string& id,
                           Callback found) {
   context_->Get(
-      connection, keys::Final(id),
+      connection, keys::ForFinalState(id),
       [this, id, found = std::move(found)](const StateResult& result) {
         if (result.outcome == Outcome::kConflict) {
           found(JobLocation::kNowhere);
--- a/src/core/api/job_responses.cc
+++ b/src/core/api/job_responses.cc
@@ -10,13 +10,13 @@
 using protocol::JobStatus;
 
 void JobResponses::AnswerFromCache(uint64_t request, const std::string& id) {
-  if (const auto state = job_cache_->FindFinal(id)) {
+  if (const auto state = job_cache_->FindFinalState(id)) {
     const JobStatus status =
         *state == FinalState::kDone ? JobStatus::kDone : JobStatus::kCancelled;
     pending_->Answer(request, 200, EncodeJobStatus(id, status));
     return;
   }
-  const CachedJob* known = job_cache_->FindLive(id);
+  const CachedJob* known = job_cache_->FindLiveJob(id);
   JobCounts counts = known ? known->counts : JobCounts();
   counts.id = id;
   const JobStatus status =
--- a/src/core/api/quorum_reads.cc
+++ b/src/core/api/quorum_reads.cc
@@ -41,7 +41,7 @@
   std::set<std::string> included;
   std::vector<WaitingPoll> rest;
   for (WaitingPoll& poll : waiting_) {
-    const CachedJob* known = job_cache_->FindLive(poll.id);
+    const CachedJob* known = job_cache_->FindLiveJob(poll.id);
     if (!known) {  // it has ended since the poll came: that is final
       responses_->AnswerFromCache(poll.request, poll.id);
       continue;
@@ -52,7 +52,7 @@
         continue;
       }
       included.insert(poll.id);
-      batch.preconditions.push_back({keys::Live(poll.id), known->version});
+      batch.preconditions.push_back({keys::ForLiveJob(poll.id), known->version});
     }
     batch.polls.push_back(std::move(poll));
   }
@@ -84,7 +84,7 @@
   for (const WaitingPoll& poll : polls) {
     const bool still_live =
         result.outcome == Outcome::kOk ||
-        (conflict && !failed.empty() && !failed.count(keys::Live(poll.id)));
+        (conflict && !failed.empty() && !failed.count(keys::ForLiveJob(poll.id)));
     if (still_live)
       responses_->AnswerFromCache(poll.request, poll.id);
     else if (conflict)
--- a/src/core/autoscaling/machine_releases.cc
+++ b/src/core/autoscaling/machine_releases.cc
@@ -51,7 +51,7 @@
   Machine* machine = machines_->Find(name);
   if (!machine) return;
   if (machine->lifecycle.recorded || machine->lifecycle.recording)
-    writer_->Remove(keys::Machine(name));
+    writer_->Remove(keys::ForMachine(name));
   if (on_gone) on_gone(machine);
   machines_->Remove(name);
   requests_->OnMachineRecorded(name);
--- a/src/core/autoscaling/provisioning_requests.cc
+++ b/src/core/autoscaling/provisioning_requests.cc
@@ -45,7 +45,7 @@
 
 int ProvisioningRequests::MaxMachinesPerRequest() const {
   // The record has to name all of them.
-  const size_t bytes = limits_->value_bytes();
+  const size_t bytes = limits_->max_value_bytes();
   const size_t names =
       bytes > kProvisioningRecordOverheadBytes
           ? (bytes - kProvisioningRecordOverheadBytes) / kMachineNameMaxBytes
@@ -79,7 +79,7 @@
   requests_[name] = std::move(request);
   // The record comes before the call. Prevents a machine that nobody releases:
   // the leader may crash after the call.
-  writer_->Put(keys::Rent(name), std::move(value),
+  writer_->Put(keys::ForProvisioningRequest(name), std::move(value),
                {[this, name] {
                   const auto it = requests_.find(name);
                   if (it != requests_.end() &&
@@ -151,7 +151,7 @@
   if (request->unrecorded_machines.empty())
     End(name);
   else
-    writer_->Put(keys::Rent(name),
+    writer_->Put(keys::ForProvisioningRequest(name),
                  protocol::EncodeProvisioningRecord(request->record));
 }
 
@@ -167,7 +167,7 @@
 
 void ProvisioningRequests::End(const std::string& name) {
   requests_.erase(name);
-  writer_->Remove(keys::Rent(name));
+  writer_->Remove(keys::ForProvisioningRequest(name));
 }
 
 std::vector<const ProvisioningRecord*> ProvisioningRequests::Unanswered()
--- a/src/core/controller/catalog_refresher.cc
+++ b/src/core/controller/catalog_refresher.cc
@@ -5,18 +5,18 @@
 namespace sorrelwood {
 
 void CatalogRefresher::Tick() {
-  if (in_flight_ || context_->now < next_request_at_) return;
-  in_flight_ = true;
+  if (request_in_flight_ || context_->now < next_request_at_) return;
+  request_in_flight_ = true;
   context_->Catalog([this](const CloudResult& result) { OnResult(result); });
 }
 
 void CatalogRefresher::OnResult(const CloudResult& result) {
-  in_flight_ = false;
-  const bool read = result.outcome == Outcome::kOk;
-  if (read) known_ = true;
+  request_in_flight_ = false;
+  const bool succeeded = result.outcome == Outcome::kOk;
+  if (succeeded) ever_read_ = true;
   next_request_at_ =
-      context_->now + (known_ ? kCatalogIntervalS : kCatalogFirstRetryS);
-  if (read) on_catalog_(result.types);
+      context_->now + (ever_read_ ? kCatalogIntervalS : kCatalogFirstRetryS);
+  if (succeeded) on_catalog_(result.types);
 }
 
 }  // namespace sorrelwood
--- a/src/core/controller/catalog_refresher.h
+++ b/src/core/controller/catalog_refresher.h
@@ -1,4 +1,4 @@
-// Reads the cloud's catalogue of machine types now and then.
+// Periodically reads the cloud's catalogue of machine types.
 #pragma once
 
 #include <functional>
@@ -13,12 +13,12 @@
  public:
   using Listener = std::function<void(const std::vector<MachineType>&)>;
 
-  // `on_catalog` is called with each catalogue that was read.
+  // Calls `on_catalog` with each catalogue that was read.
   CatalogRefresher(Context* context, Listener on_catalog)
       : context_(context), on_catalog_(std::move(on_catalog)) {}
 
-  // Requests the catalogue if that is due. After a failure the last one stays
-  // in force; without any, it is requested again sooner.
+  // Requests the catalogue when the next request is due. After a failure the
+  // last catalogue stays in use; until one was read, retries are more frequent.
   void Tick();
 
  private:
@@ -26,9 +26,9 @@
 
   Context* context_;
   Listener on_catalog_;
-  bool known_ = false;      // it was read once
-  bool in_flight_ = false;  // a request has not been answered yet
-  double next_request_at_ = 0;
+  bool ever_read_ = false;
+  bool request_in_flight_ = false;
+  double next_request_at_ = 0;  // steady clock, s
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -10,9 +10,10 @@
 constexpr int kMisdirectedRequest = 421;
 constexpr int kServiceUnavailable = 503;
 
-// How often one node may send a watch (s): each answer opens the next one, and
-// all nodes together keep to their share of the state service's requests.
-double WatchIntervalS(const ClusterSettings& settings) {
+// The minimum interval between two watches of one node (s). Each response to a
+// watch triggers the next one; the interval keeps all nodes together within
+// kWatchShare of the state service's request rate.
+double MinWatchIntervalS(const ClusterSettings& settings) {
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
   return nodes / (settings.state_requests_per_s * kWatchShare);
 }
@@ -24,7 +25,7 @@
     : settings_(settings),
       context_(incarnation),
       limits_(settings_),
-      job_cache_(&context_, WatchIntervalS(settings_)),
+      job_cache_(&context_, MinWatchIntervalS(settings_)),
       election_(&context_, &job_cache_, settings_.node,
                 settings_.worker_lease_s, settings_.cancel_deadline_s),
       job_api_(&context_, &job_cache_, &limits_, &settings_),
@@ -37,8 +38,8 @@
         job_api_.UpdateCatalog(types);
         leader_role_.UpdateCatalog(types);
       }) {
-  job_cache_.on_job_live = [this](const std::string& id) {
-    leader_role_.OnJobLive(id);
+  job_cache_.on_job_added = [this](const std::string& id) {
+    leader_role_.OnJobAdded(id);
   };
   job_cache_.on_job_ended = [this](const std::string& id, FinalState) {
     leader_role_.OnJobEnded(id);
@@ -50,8 +51,8 @@
 }
 
 void Controller::BeginInput(Time time) {
-  // Only a gap between two inputs shows that the process was paused: its clock
-  // went on meanwhile.
+  // The clock continues while the process is paused, so a pause shows only as a
+  // gap between two inputs.
   const double gap_s = time.steady - context_.now;
   context_.now = time.steady;
   context_.wall = time.wall;
@@ -99,16 +100,16 @@
 Actions Controller::OnHeartbeat(Time time, uint64_t request,
                                 const Heartbeat& heartbeat) {
   BeginInput(time);
-  // First, since a token of a later term ends this node's leadership.
+  // Checked first, since a token of a later term ends this node's leadership.
   election_.ObserveTerm(heartbeat.fencing_token);
   if (election_.MayRenewWorkerLeases())
     leader_role_.OnHeartbeat(request, heartbeat);
   else
-    context_.out.push_back(RefuseHeartbeat(request));
+    context_.out.push_back(MakeHeartbeatRefusal(request));
   return EndInput();
 }
 
-HeartbeatResponse Controller::RefuseHeartbeat(uint64_t request) const {
+HeartbeatResponse Controller::MakeHeartbeatRefusal(uint64_t request) const {
   HeartbeatResponse response;
   response.request = request;
   if (election_.leading()) {
@@ -125,7 +126,7 @@
 
 Actions Controller::Deliver(Time time, const StateResult& result) {
   BeginInput(time);
-  limits_.Learn(result);
+  limits_.ObserveResult(result);
   context_.Deliver(result);
   return EndInput();
 }
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -1,5 +1,6 @@
-// The core of one controller: a state machine without clock, socket, thread or
-// log. Each input brings the time; what is to be done is returned as actions.
+// The core of one controller: a state machine that uses no clock, socket,
+// thread or log itself. Each input carries the time, and returns the actions to
+// carry out.
 #pragma once
 
 #include <cstdint>
@@ -18,55 +19,56 @@
 
 namespace sorrelwood {
 
-// Joins the parts of a controller and passes inputs on to them.
+// Owns the components of a controller and passes inputs on to them.
 class Controller {
  public:
-  // `incarnation` differs between processes of the same node; it also seeds the
-  // random numbers.
+  // `incarnation` differs between processes of the same node. It also seeds the
+  // random number generator.
   Controller(const ClusterSettings& settings, const PolicySettings& policy,
              uint64_t incarnation);
 
-  // When an input came.
+  // When an input was received.
   struct Time {
-    double steady = 0;  // of a clock that never goes back (s)
+    double steady = 0;  // monotonic clock (s)
     double wall = 0;    // time of day (s since the epoch)
   };
 
-  // Does what is due; called every kTickS.
+  // Runs all periodic work that is due. Called every kTickIntervalS.
   Actions Tick(Time time);
-  // Requests of users. `request` names the connection to answer.
+  // Requests of users. `request` identifies the request to respond to.
   Actions Submit(Time time, uint64_t request, const JobSpec& spec);
   Actions Poll(Time time, uint64_t request, const std::string& job);
   Actions Cancel(Time time, uint64_t request, const std::string& job);
-  // A heartbeat of a worker: answered by the leader alone. Other nodes answer
-  // 421 and name the leader; a leader that may not renew leases answers 503.
+  // A heartbeat of a worker. Only the leader handles it. Other nodes respond
+  // with 421 and the leader's name; a leader that may not renew worker leases
+  // responds with 503.
   Actions OnHeartbeat(Time time, uint64_t request, const Heartbeat& heartbeat);
-  // Results of actions. A result that was delivered before is ignored.
+  // Results of actions. Duplicates are ignored.
   Actions Deliver(Time time, const StateResult& result);
   Actions Deliver(Time time, const CloudResult& result);
   Actions Deliver(Time time, const PushResult& result);
-  // A status message of another controller.
+  // A status message from another controller.
   Actions OnPeerStatus(Time time, const PeerStatus& status);
 
   struct Statistics {
     bool leading = false, may_dispatch = false, may_renew_worker_leases = false;
-    uint64_t term = 0;  // the highest known
+    uint64_t term = 0;  // the highest known term
     SchedulerStatistics scheduler;
   };
   Statistics CollectStatistics() const;
   bool leading() const { return election_.leading(); }
   // See NodeHealth.
-  bool Healthy() const { return node_health_.Healthy(); }
-  // How many machines and jobs were examined for the last input.
-  uint64_t work() const { return context_.work; }
+  bool IsHealthy() const { return node_health_.IsHealthy(); }
+  // How many machines and jobs were examined while handling the last input.
+  uint64_t items_examined() const { return context_.work; }
   void set_debug(bool debug) { context_.debug = debug; }
 
  private:
-  // Every input is handled between these two.
+  // Called before and after the handling of every input.
   void BeginInput(Time time);
   Actions EndInput();
-  // The response of a node that may not answer as the leader.
-  HeartbeatResponse RefuseHeartbeat(uint64_t request) const;
+  // Returns the response of a node that may not handle heartbeats.
+  HeartbeatResponse MakeHeartbeatRefusal(uint64_t request) const;
 
   const ClusterSettings settings_;
   Context context_;
--- a/src/core/controller/failover_recovery.cc
+++ b/src/core/controller/failover_recovery.cc
@@ -10,8 +10,8 @@
 namespace sorrelwood {
 
 void FailoverRecovery::Start() {
-  Read(keys::kMachine,
-       [this](const StateResult& machines) { LoadMachines(machines); });
+  ReadRecords(keys::kMachinePrefix,
+              [this](const StateResult& machines) { LoadMachines(machines); });
 }
 
 void FailoverRecovery::Reset() {
@@ -26,12 +26,12 @@
   Start();
 }
 
-void FailoverRecovery::Read(const std::string& prefix, Step next) {
-  context_->List(prefix, [this, next = std::move(next),
+void FailoverRecovery::ReadRecords(const std::string& prefix, Step next_step) {
+  context_->List(prefix, [this, next_step = std::move(next_step),
                           generation = generation_](const StateResult& result) {
     if (generation != generation_) return;
     if (result.outcome == Outcome::kOk)
-      next(result);
+      next_step(result);
     else
       OnReadFailed();
   });
@@ -65,20 +65,22 @@
     machine->contact.last_answered_at = context_->now;
     machine->contact.last_delivery_proof_at = context_->now;
   }
-  Read(keys::kProgress, [this](const StateResult& completions) {
+  ReadRecords(keys::kCompletionsPrefix, [this](const StateResult& completions) {
     LoadCompletions(completions);
   });
 }
 
 void FailoverRecovery::LoadCompletions(const StateResult& completions) {
   completions_->Load(completions);
-  Read(keys::kLive, [this](const StateResult& jobs) { LoadJobs(jobs); });
+  ReadRecords(keys::kLivePrefix,
+              [this](const StateResult& jobs) { LoadJobs(jobs); });
 }
 
 void FailoverRecovery::LoadJobs(const StateResult& jobs) {
   job_cache_->ApplyListing(jobs);
-  Read(keys::kRent,
-       [this](const StateResult& requests) { LoadProvisioning(requests); });
+  ReadRecords(keys::kProvisioningPrefix, [this](const StateResult& requests) {
+    LoadProvisioning(requests);
+  });
 }
 
 void FailoverRecovery::LoadProvisioning(const StateResult& requests) {
@@ -90,11 +92,12 @@
   }
   complete_ = true;
   autoscaler_->Load(election_->term(), records);
-  Finish();
+  FinishRecovery();
 }
 
-void FailoverRecovery::Finish() {
-  for (const auto& [id, cached] : job_cache_->live()) lifecycle_->OnJobLive(id);
+void FailoverRecovery::FinishRecovery() {
+  for (const auto& [id, cached] : job_cache_->live_jobs())
+    lifecycle_->OnJobAdded(id);
   completions_->FinishLoading();
   unreconciled_->Recount(machines_->all());
   context_->Info(
--- a/src/core/controller/failover_recovery.h
+++ b/src/core/controller/failover_recovery.h
@@ -1,4 +1,5 @@
-// Reads what earlier leaders have stored, once this node has become the leader.
+// Loads the records that earlier leaders stored, after this node has become the
+// leader.
 #pragma once
 
 #include <cstdint>
@@ -20,8 +21,8 @@
 namespace sorrelwood {
 
 // The records are read one kind after the other: machines, completions, live
-// jobs, provisioning requests. All are read after the new term was committed,
-// when no earlier leader can write any more.
+// jobs, provisioning requests. All reads happen after the new term has been
+// committed, when no earlier leader can write any more.
 class FailoverRecovery {
  public:
   FailoverRecovery(Context* context, JobCache* job_cache,
@@ -40,27 +41,27 @@
         unreconciled_(unreconciled),
         lifecycle_(lifecycle) {}
 
-  // Begins to read. What was read of another term must be cleared before.
+  // Starts reading. The caller must have cleared all records of an earlier
+  // term.
   void Start();
-  // The term has ended: nothing is recovered, and results still to come are
-  // ignored.
+  // Called when the term has ended. Results that are still pending are ignored.
   void Reset();
-  // Starts again some time (kRecoveryRetryS) after a read has failed.
+  // Restarts the recovery kRecoveryRetryS after a read has failed.
   void RetryIfDue();
-  // Whether all records of this term are read. The leader starts nothing
-  // before.
+  // Whether all records have been read in this term. Until then the leader
+  // starts no tasks and rents no machines.
   bool complete() const { return complete_; }
 
  private:
   using Step = std::function<void(const StateResult&)>;
-  // Lists the records under a prefix, and calls `next` unless that fails or the
-  // term has ended meanwhile.
-  void Read(const std::string& prefix, Step next);
+  // Lists the records under `prefix` and passes them to `next_step`, unless the
+  // listing fails or the term has ended.
+  void ReadRecords(const std::string& prefix, Step next_step);
   void LoadMachines(const StateResult& machines);
   void LoadCompletions(const StateResult& completions);
   void LoadJobs(const StateResult& jobs);
   void LoadProvisioning(const StateResult& requests);
-  void Finish();
+  void FinishRecovery();
   void OnReadFailed();
 
   Context* context_;
@@ -74,8 +75,9 @@
   UnreconciledMachines* unreconciled_;
   JobLifecycle* lifecycle_;
   bool complete_ = false;
-  uint64_t generation_ = 0;         // raised when pending reads become obsolete
-  std::optional<double> retry_at_;  // once a read has failed (steady clock, s)
+  uint64_t generation_ = 0;  // raised when pending reads become obsolete
+  // When to restart after a failed read (steady clock, s).
+  std::optional<double> retry_at_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/job_lifecycle.cc
+++ b/src/core/controller/job_lifecycle.cc
@@ -5,8 +5,8 @@
 
 namespace sorrelwood {
 
-void JobLifecycle::OnJobLive(const std::string& id) {
-  const CachedJob* cached = job_cache_->FindLive(id);
+void JobLifecycle::OnJobAdded(const std::string& id) {
+  const CachedJob* cached = job_cache_->FindLiveJob(id);
   if (!cached || jobs_->Find(id)) return;
   const bool from_earlier_term =
       cached->version < election_->leader_precondition().version;
@@ -18,7 +18,8 @@
                                 {"tasks", job->spec().tasks},
                                 {"image", job->spec().image},
                                 {"team", job->spec().team}});
-  // With the next tick, not now: a failover brings hundreds of jobs at once.
+  // The queue is ranked at the next tick, not now: a failover adds hundreds of
+  // jobs at once.
   rank_timer_.Trigger();
   completions_->Restore(job);
   if (job->progress.done.size() == job->spec().tasks)
@@ -35,23 +36,24 @@
 }
 
 void JobLifecycle::StopAttempts(const Job& job) {
-  // A copy, since the removal of an attempt changes the original.
+  // Copied, since removing an attempt changes the original map.
   const std::map<uint32_t, std::string> machine_of_task =
       job.progress.machine_of_task;
-  for (const auto& [task, name] : machine_of_task) {
-    Machine* machine = machines_->Find(name);
+  for (const auto& [task, machine_name] : machine_of_task) {
+    Machine* machine = machines_->Find(machine_name);
     if (!machine) continue;
-    const auto it = machine->attempts.find({job.id(), task});
-    if (it == machine->attempts.end()) continue;
-    TaskAttempt& attempt = it->second;
+    const auto found = machine->attempts.find({job.id(), task});
+    if (found == machine->attempts.end()) continue;
+    TaskAttempt& attempt = found->second;
     attempt.job_active = false;
     attempt.stop = true;
     attempt.stop_grace_s = 0;
-    if (attempt.phase == AttemptPhase::kPlanned) attempts_->Remove(machine, it);
+    if (attempt.phase == AttemptPhase::kPlanned)
+      attempts_->Remove(machine, found);
   }
 }
 
-void JobLifecycle::RankQueue() {
+void JobLifecycle::RankQueueIfDue() {
   if (rank_timer_.Due(context_->now)) jobs_->Rank(*settings_, context_->wall);
 }
 
--- a/src/core/controller/job_lifecycle.h
+++ b/src/core/controller/job_lifecycle.h
@@ -1,5 +1,5 @@
-// Takes jobs into the leader's job table when they are submitted and removes
-// them when they end, and keeps the queue ranked.
+// Adds jobs to the leader's job table when they are submitted, removes them
+// when they end, and keeps the queue ranked.
 #pragma once
 
 #include <string>
@@ -36,13 +36,14 @@
         job_finisher_(job_finisher),
         rebalancer_(rebalancer) {}
 
-  // The job is in the job cache as live. Does nothing if it is known already.
-  void OnJobLive(const std::string& id);
-  // The job is done or cancelled. Its attempts are told to stop, and use up
-  // their team's limit until they are proved to have ended.
+  // Called when the job cache contains a live job. Does nothing if the job
+  // table contains it already.
+  void OnJobAdded(const std::string& id);
+  // Called when the job is done or cancelled. Requests its attempts to stop;
+  // they count against their team's limit until they are known to have ended.
   void OnJobEnded(const std::string& id);
-  // Ranks the queue if that is due.
-  void RankQueue();
+  // Ranks the queue, at most every kRankEveryS unless a new job triggers it.
+  void RankQueueIfDue();
 
  private:
   void StopAttempts(const Job& job);
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -75,8 +75,8 @@
   unreconciled_.Recount(machines_.all());
 }
 
-void LeaderRole::OnJobLive(const std::string& id) {
-  if (recovery_.complete()) job_lifecycle_.OnJobLive(id);
+void LeaderRole::OnJobAdded(const std::string& id) {
+  if (recovery_.complete()) job_lifecycle_.OnJobAdded(id);
 }
 
 void LeaderRole::OnJobEnded(const std::string& id) {
@@ -98,7 +98,8 @@
   }
   if (health_timer_.Due(context_->now)) {
     health_monitor_.CheckMachines();
-    // It may have resigned, and all that follows been forgotten.
+    // The health monitor may have resigned the leadership, which clears the
+    // state that the steps below use.
     if (!election_->leading()) return;
   }
   writer_.Tick();
@@ -108,7 +109,7 @@
   replicas_.CountTime();
   rebalancer_.Tick(election_->MayDispatch());
   PreemptForServices();
-  job_lifecycle_.RankQueue();
+  job_lifecycle_.RankQueueIfDue();
   if (context_->debug && team_usage_timer_.Due(context_->now))
     statistics_.LogTeamUsage();
   PlacePending();
@@ -116,7 +117,7 @@
 
 void LeaderRole::CommitResults() {
   if (!commit_timer_.Due(context_->now)) return;
-  job_finisher_.CommitEnds();
+  job_finisher_.CommitJobEnds();
   completions_.Write();
 }
 
--- a/src/core/controller/leader_role.h
+++ b/src/core/controller/leader_role.h
@@ -1,6 +1,6 @@
-// The parts that are active while this node leads the cluster, joined: they
-// receive heartbeats, place tasks, scale the fleet, commit results and handle
-// failures. Each part decides for itself; this class only says when.
+// Owns the components that are active while this node is the leader: they
+// handle heartbeats, place tasks, scale the fleet, commit results and handle
+// failures. This class only determines when each of them runs.
 #pragma once
 
 #include <cstdint>
@@ -45,39 +45,40 @@
 
 class LeaderRole {
  public:
-  // `seed`: of the wait predictor's random numbers.
+  // `seed` seeds the random numbers of the wait predictor.
   LeaderRole(Context* context, JobCache* job_cache, LeaderElection* election,
              const ClusterSettings* settings, const StateLimitTracker* limits,
              const PolicySettings& policy, uint64_t seed);
-  // The parts point at each other.
+  // Not copyable: the components hold pointers to each other.
   LeaderRole(const LeaderRole&) = delete;
   LeaderRole& operator=(const LeaderRole&) = delete;
 
-  // This node has become the leader: recovery begins.
+  // Starts the failover recovery.
   void OnLeadershipAcquired();
-  // This node does not lead any more: everything is forgotten.
+  // Clears the state of the term.
   void OnLeadershipLost();
-  // Does what is due. Does nothing while this node does not lead.
+  // Runs all periodic work that is due. Does nothing while this node does not
+  // lead.
   void Tick();
-  // No input was handled for `gap_s` seconds.
+  // Called after no input was handled for `gap_s` seconds.
   void OnProcessPause(double gap_s) { health_monitor_.OnProcessPause(gap_s); }
-  // The cloud's catalogue of machine types was read.
+  // Called with each catalogue of machine types read from the cloud.
   void UpdateCatalog(const std::vector<MachineType>& types);
-  // The job cache has learned of a job, or of its end.
-  void OnJobLive(const std::string& id);
+  // Called by the job cache for each new live job, and for each job that ends.
+  void OnJobAdded(const std::string& id);
   void OnJobEnded(const std::string& id);
-  // A heartbeat that this node may answer as the leader. `request` names the
-  // connection to answer.
+  // Handles a heartbeat. Called only while this node may renew worker leases.
+  // `request` identifies the request to respond to.
   void OnHeartbeat(uint64_t request, const Heartbeat& heartbeat);
 
-  // Empty before recovery is complete.
+  // Returns an empty list until recovery is complete.
   std::vector<JobCounts> CollectJobCounts() const;
   SchedulerStatistics CollectStatistics() const {
     return statistics_.Collect();
   }
 
  private:
-  // One group of steps of a tick each.
+  // The steps of a tick; each runs only when its timer is due.
   void CommitResults();
   void ApplyPolicies();
   void PreemptForServices();
--- a/src/core/controller/node_health.cc
+++ b/src/core/controller/node_health.cc
@@ -7,17 +7,17 @@
 
 namespace sorrelwood {
 
-bool NodeHealth::Healthy() const {
+bool NodeHealth::IsHealthy() const {
   const double unserved_since = context_->unserved_since();
   if (unserved_since == 0) return true;
-  // Only what was served since then, and a little later, tells an outage of the
-  // service from a fault of this node alone.
-  const auto served = std::count_if(
+  // Peers that were served clearly later (by kShutOutS) show that only this
+  // node is affected, not that the service is down.
+  const auto served_peers = std::count_if(
       peer_served_at_.begin(), peer_served_at_.end(), [&](const auto& item) {
         return item.second > unserved_since + kShutOutS;
       });
   const size_t nodes = settings_->peers.size() + 1;
-  return static_cast<size_t>(served) * 2 < nodes;
+  return static_cast<size_t>(served_peers) * 2 < nodes;
 }
 
 }  // namespace sorrelwood
--- a/src/core/controller/node_health.h
+++ b/src/core/controller/node_health.h
@@ -1,4 +1,5 @@
-// Whether this node should be sent users: what its health probe answers.
+// Determines the result of this node's health probe: whether a load balancer
+// should route users to it.
 #pragma once
 
 #include <map>
@@ -14,16 +15,16 @@
   NodeHealth(const Context* context, const ClusterSettings* settings)
       : context_(context), settings_(settings) {}
 
-  // The state service served the peer at `served_at` (steady clock, s), as the
-  // peer says.
+  // Called when a peer reports that the state service last served it at
+  // `served_at` (steady clock, s).
   void ObservePeer(const std::string& node, double served_at) {
     peer_served_at_[node] = served_at;
   }
 
-  // False while the state service does not serve this node but serves most
-  // others, which are then a better choice for users. In an outage of the
-  // service itself no node is, and all stay healthy.
-  bool Healthy() const;
+  // Returns false while the state service does not serve this node but serves
+  // at least half of all nodes, which can then answer users better. In an
+  // outage of the service itself no node can, and all stay healthy.
+  bool IsHealthy() const;
 
  private:
   const Context* context_;
--- a/src/core/controller/peer_status_exchange.cc
+++ b/src/core/controller/peer_status_exchange.cc
@@ -8,7 +8,7 @@
 
 constexpr double kMillisecondsPerSecond = 1000.0;
 
-bool SameProgress(const JobCounts& a, const JobCounts& b) {
+bool HasSameProgress(const JobCounts& a, const JobCounts& b) {
   return a.done == b.done && a.running == b.running;
 }
 
@@ -26,7 +26,8 @@
   status.served_ago_ms =
       static_cast<uint32_t>(std::min(kMaxServedAgoMs, served_ago_ms));
   for (const JobCounts& job : counts)
-    if (CachedJob* cached = job_cache_->FindLive(job.id)) cached->counts = job;
+    if (CachedJob* cached = job_cache_->FindLiveJob(job.id))
+      cached->counts = job;
   status.jobs = CountsToSend(counts);
   context_->out.push_back(SendPeerStatus{std::move(status)});
 }
@@ -35,15 +36,15 @@
     const std::vector<JobCounts>& counts) {
   const bool send_all = sequence_ % kPeerStatusFullEvery == 0;
   std::vector<JobCounts> to_send;
-  std::map<std::string, JobCounts> known_to_peers;
+  std::map<std::string, JobCounts> sent;
   for (const JobCounts& job : counts) {
-    const auto sent = last_sent_.find(job.id);
-    if (send_all || sent == last_sent_.end() ||
-        !SameProgress(sent->second, job))
+    const auto previous = last_sent_.find(job.id);
+    if (send_all || previous == last_sent_.end() ||
+        !HasSameProgress(previous->second, job))
       to_send.push_back(job);
-    known_to_peers[job.id] = job;
+    sent[job.id] = job;
   }
-  last_sent_ = std::move(known_to_peers);
+  last_sent_ = std::move(sent);
   return to_send;
 }
 
@@ -52,10 +53,10 @@
   node_health_->ObservePeer(
       status.node,
       context_->now - status.served_ago_ms / kMillisecondsPerSecond);
-  // Guards against figures of a leader that has been replaced.
+  // Ignores the counts of a leader that has been replaced.
   if (!status.leader || status.term < election_->highest_term()) return;
   for (const JobCounts& counts : status.jobs)
-    if (CachedJob* cached = job_cache_->FindLive(counts.id))
+    if (CachedJob* cached = job_cache_->FindLiveJob(counts.id))
       cached->counts = counts;
 }
 
--- a/src/core/controller/peer_status_exchange.h
+++ b/src/core/controller/peer_status_exchange.h
@@ -15,12 +15,12 @@
 
 namespace sorrelwood {
 
-// The messages tell peers the highest term known, when the state service last
-// served the sender, and, from the leader, how far jobs have come, so that each
-// node can answer users.
+// Each message contains the highest known term and when the state service last
+// served the sender. The leader's messages also contain the progress of jobs,
+// so that every node can answer users.
 class PeerStatusExchange {
  public:
-  // `incarnation`: of this process.
+  // `incarnation` identifies this process of the node.
   PeerStatusExchange(Context* context, const ClusterSettings* settings,
                      JobCache* job_cache, LeaderElection* election,
                      NodeHealth* node_health, uint64_t incarnation)
@@ -31,17 +31,18 @@
         node_health_(node_health),
         incarnation_(incarnation) {}
 
-  // Whether a message is to be sent now; the next one is due an interval later.
+  // Returns whether a broadcast is due. If so, the next one is due
+  // kPeerStatusEveryS later.
   bool BroadcastDue() { return timer_.Due(context_->now); }
-  // Sends a message to all peers. `counts`: of all jobs, from the leader; empty
-  // from other nodes.
+  // Sends a message to all peers. `counts` are those of all jobs on the leader,
+  // and empty on other nodes.
   void Broadcast(const std::vector<JobCounts>& counts);
-  // A message of a peer has come.
+  // Called with each message from a peer.
   void OnPeerStatus(const PeerStatus& status);
 
  private:
-  // The counts that differ from what was last sent, and now and then all of
-  // them, since messages may be lost.
+  // Returns the counts that have changed since they were last sent. Every
+  // kPeerStatusFullEvery messages it returns all, since messages may be lost.
   std::vector<JobCounts> CountsToSend(const std::vector<JobCounts>& counts);
 
   Context* context_;
@@ -52,7 +53,7 @@
   const uint64_t incarnation_;
   PeriodicTimer timer_{kPeerStatusEveryS};
   uint64_t sequence_ = 0;                       // of the latest message
-  std::map<std::string, JobCounts> last_sent_;  // by job
+  std::map<std::string, JobCounts> last_sent_;  // by job id
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/scheduler_statistics.cc
+++ b/src/core/controller/scheduler_statistics.cc
@@ -6,21 +6,22 @@
   SchedulerStatistics statistics;
   statistics.jobs = jobs_->all().size();
   for (const auto& [id, job] : jobs_->all()) {
-    statistics.pending += job->progress.pending.size();
-    statistics.placed += job->progress.machine_of_task.size();
+    statistics.pending_tasks += job->progress.pending.size();
+    statistics.placed_tasks += job->progress.machine_of_task.size();
   }
   statistics.machines = machines_->all().size();
   for (const auto& [name, machine] : machines_->all())
-    if (machine->role.baseline) ++statistics.base_machines;
-  statistics.unreconciled = placement_->admission().unreconciled_machines();
-  statistics.base_target_cpus = autoscaler_->baseline_target_cpus();
+    if (machine->role.baseline) ++statistics.baseline_machines;
+  statistics.unreconciled_machines =
+      placement_->admission().unreconciled_machines();
+  statistics.baseline_target_cpus = autoscaler_->baseline_target_cpus();
   statistics.predictor_error_s = waiting_->predictor().mean_error_s();
-  statistics.predictor_matthews = waiting_->predictor().matthews();
+  statistics.predictor_matthews_correlation = waiting_->predictor().matthews();
   statistics.predictor_samples = waiting_->predictor().samples();
   statistics.speculative_kills = waiting_->killed();
-  statistics.rented_to_end = waiting_->rented();
+  statistics.kept_on_rented_machines = waiting_->rented();
   statistics.replicas = replicas_->CollectStatistics();
-  statistics.spread = rebalancer_->CollectStatistics();
+  statistics.rebalancing = rebalancer_->CollectStatistics();
   return statistics;
 }
 
--- a/src/core/controller/scheduler_statistics.h
+++ b/src/core/controller/scheduler_statistics.h
@@ -1,4 +1,4 @@
-// Figures about the leader's jobs and machines, for metrics, users and the
+// Statistics about the leader's jobs and machines, for metrics, users and the
 // debug log.
 #pragma once
 
@@ -17,22 +17,24 @@
 
 namespace sorrelwood {
 
-// All zero on a node that does not lead.
+// Job and machine counts are zero on a node that does not lead.
 struct SchedulerStatistics {
-  size_t jobs = 0;              // unfinished
-  size_t pending = 0;           // tasks
-  size_t placed = 0;            // tasks
-  size_t machines = 0;          // of all kinds
-  size_t base_machines = 0;     // of the baseline capacity
-  int unreconciled = 0;         // machines of earlier terms, see
-                                // UnreconciledMachines
-  double base_target_cpus = 0;  // of the baseline capacity
-  double predictor_error_s = 0, predictor_matthews = 0;
+  size_t jobs = 0;  // unfinished
+  size_t pending_tasks = 0;
+  size_t placed_tasks = 0;
+  size_t machines = 0;
+  size_t baseline_machines = 0;
+  int unreconciled_machines = 0;  // see UnreconciledMachines
+  double baseline_target_cpus = 0;
+  // Of the wait predictor.
+  double predictor_error_s = 0;  // mean absolute error
+  double predictor_matthews_correlation = 0;
   size_t predictor_samples = 0;
   uint64_t speculative_kills = 0;  // tasks stopped at the speculation limit
-  uint64_t rented_to_end = 0;      // tasks left to run on rented capacity
+  // Tasks that the waiting policy let run to the end on rented machines.
+  uint64_t kept_on_rented_machines = 0;
   ReplicaManager::Statistics replicas;
-  Rebalancer::Statistics spread;
+  Rebalancer::Statistics rebalancing;
 };
 
 class SchedulerStatisticsCollector {
@@ -53,9 +55,9 @@
         rebalancer_(rebalancer) {}
 
   SchedulerStatistics Collect() const;
-  // How far each unfinished job has come, in the order of identifiers.
+  // Returns the progress of each unfinished job, ordered by job id.
   std::vector<JobCounts> CollectJobCounts() const;
-  // Writes each team's usage to the debug log.
+  // Logs each team's usage at debug level.
   void LogTeamUsage() const;
 
  private:
--- a/src/core/coordination/completion_store.h
+++ b/src/core/coordination/completion_store.h
@@ -1,9 +1,11 @@
-// The stored record of which tasks of unfinished jobs are done: read by a new
-// leader, written in batches while tasks complete, removed when the job ends.
+// The stored completion records: which tasks of unfinished jobs are done. A new
+// leader reads them; the leader writes them in batches while tasks complete and
+// removes them when the job ends.
 //
-// The tasks of a job are cut into chunks of kTasksPerCompletionRecord, a key
-// each. Where a chunk's bits are more than a value may hold, parts of it have
-// keys of their own. A version that knows whole chunks only passes over parts.
+// The tasks of a job are split into chunks of kTasksPerCompletionRecord, with
+// one key per chunk. If the bits of a chunk exceed the value limit, the chunk
+// is split into parts with one key each. Versions that support only whole
+// chunks ignore parts.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +20,12 @@
 
 namespace sorrelwood {
 
-// The bits of tasks `begin` up to `end`, as hexadecimal digits of four tasks
-// each, the first task in the lowest bit.
+// Encodes the tasks in [begin, end) as hexadecimal digits of four tasks each,
+// the first task in the lowest bit.
 std::string EncodeCompletionBits(const IntervalSet& tasks, uint32_t begin,
                                  uint32_t end);
-// Adds the tasks that `hex` names, from task `begin` on and below `task_count`.
+// Adds the tasks whose bits are set in `hex`. The first bit stands for task
+// `begin`; tasks from `task_count` on are ignored.
 void DecodeCompletionBits(const std::string& hex, uint32_t begin,
                           uint32_t task_count, IntervalSet* tasks);
 
@@ -32,37 +35,37 @@
                   const StateLimitTracker* limits)
       : jobs_(jobs), writer_(writer), limits_(limits) {}
 
-  // Takes the listing of all progress records.
+  // Reads the listing of all completion records.
   void Load(const StateResult& listing);
-  // Marks what the listing says of the job as done and written.
+  // Marks the job's tasks that the listing contains as done and committed.
   void Restore(Job* job) const;
-  // Forgets the listing, and removes the records of jobs that have ended.
+  // Discards the loaded tasks and removes the records of jobs that have ended.
   void FinishLoading();
 
-  // A task of the job has completed and is to be written.
-  void MarkDirty(const std::string& job) { dirty_jobs_.insert(job); }
-  // Hands the writer what has completed since the last call.
+  // Called when a task of the job has completed: the next Write() stores it.
+  void MarkDirty(const std::string& job_id) { dirty_jobs_.insert(job_id); }
+  // Passes the tasks completed since the last call to the state writer.
   void Write();
-  // The job has ended: its records go.
-  void Remove(const std::string& job);
+  // Removes the records of a job that has ended.
+  void Remove(const std::string& job_id);
   void Clear();
 
  private:
   void WriteChunk(Job* job, uint32_t begin, uint32_t end);
-  void WriteRange(Job* job, const std::string& key, uint32_t begin,
-                  uint32_t end, bool part);
-  // Tasks from `begin` up to `end` that are done.
+  void WriteTasks(Job* job, const std::string& key, uint32_t begin,
+                  uint32_t end, bool is_part);
+  // The tasks in [begin, end) that are done.
   static IntervalSet DoneWithin(const Job& job, uint32_t begin, uint32_t end);
   static bool AllCommitted(const Job& job, const IntervalSet& tasks);
-  // Tasks that one part may name under the limits of now.
+  // How many tasks one part may hold under the current value limit.
   uint32_t TasksPerPart() const;
 
   JobTable* jobs_;
   StateWriter* writer_;
   const StateLimitTracker* limits_;
-  std::map<std::string, IntervalSet> loaded_;            // by job
-  std::map<std::string, std::set<std::string>> stored_;  // keys, by job
-  std::set<std::string> dirty_jobs_;                     // jobs
+  std::map<std::string, IntervalSet> loaded_tasks_;           // by job id
+  std::map<std::string, std::set<std::string>> stored_keys_;  // by job id
+  std::set<std::string> dirty_jobs_;                          // job ids
 };
 
 }  // namespace sorrelwood
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -7,73 +7,83 @@
 #include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
+namespace {
+
+constexpr double kLoadRetryS = 0.3;   // pause after a failed listing
+constexpr double kWatchRetryS = 0.2;  // pause after a failed watch
+
+}  // namespace
 
 void JobCache::Tick() {
-  if (busy_ || context_->now < retry_at_) return;
+  if (request_in_flight_ || context_->now < retry_at_) return;
   if (!loaded_)
-    Load();
-  else if (context_->now >= next_watch_)
-    Watch();
+    LoadListing();
+  else if (context_->now >= next_watch_at_)
+    SendWatch();
 }
 
-void JobCache::Load() {
-  busy_ = true;
-  const double sent = context_->now;
-  context_->List(keys::kLive, [this, sent](const StateResult& result) {
+void JobCache::LoadListing() {
+  request_in_flight_ = true;
+  const double sent_at = context_->now;
+  context_->List(keys::kLivePrefix, [this, sent_at](const StateResult& result) {
     if (result.outcome != Outcome::kOk) {
-      busy_ = false;
-      retry_at_ = context_->now + 0.3;
+      request_in_flight_ = false;
+      retry_at_ = context_->now + kLoadRetryS;
       return;
     }
     ApplyListing(result);
-    // Watching from the listing's revision brings everything later, the
-    // leader key included once it is read after it.
+    // A watch from the listing's revision reports every later change. The
+    // leader key lies outside the listing and is read after it, so a change of
+    // it is not missed either.
     const uint64_t revision = result.revision;
     context_->Get(
         StateConnection::kLeader, keys::kLeader,
-        [this, sent, revision](const StateResult& got) {
-          busy_ = false;
-          if (got.outcome == Outcome::kOk && !got.items.empty()) {
-            const KeyValue& item = got.items[0];
+        [this, sent_at, revision](const StateResult& leader_result) {
+          request_in_flight_ = false;
+          if (leader_result.outcome == Outcome::kOk &&
+              !leader_result.items.empty()) {
+            const KeyValue& item = leader_result.items[0];
             if (const auto leader = protocol::ParseLeaderRecord(item.value))
               ApplyLeader(item.version, *leader, item.version);
-          } else if (got.outcome == Outcome::kConflict) {
+          } else if (leader_result.outcome == Outcome::kConflict) {
             ApplyLeader(0, LeaderRecord(), revision);
           } else {
-            retry_at_ = context_->now + 0.3;
+            retry_at_ = context_->now + kLoadRetryS;
             return;
           }
           revision_ = revision;
           loaded_ = true;
-          synced_at_ = std::max(synced_at_, sent);
-          Watch();
+          synced_at_ = std::max(synced_at_, sent_at);
+          SendWatch();
         });
   });
 }
 
-void JobCache::Watch() {
-  busy_ = true;
-  const double sent = context_->now;
-  next_watch_ = sent + watch_every_s_;
-  context_->Watch(keys::kWatched, revision_,
-                  [this, sent](const StateResult& result) {
-                    busy_ = false;
+void JobCache::SendWatch() {
+  request_in_flight_ = true;
+  const double sent_at = context_->now;
+  next_watch_at_ = sent_at + min_watch_interval_s_;
+  context_->Watch(keys::kWatchedPrefix, revision_,
+                  [this, sent_at](const StateResult& result) {
+                    request_in_flight_ = false;
                     if (result.outcome != Outcome::kOk) {
-                      retry_at_ = context_->now + 0.2;
+                      retry_at_ = context_->now + kWatchRetryS;
                       return;
                     }
                     if (result.too_old) {
                       loaded_ = false;
                       return;
                     }
-                    for (const KeyValue& change : result.items) Apply(change);
+                    for (const KeyValue& change : result.items)
+                      ApplyChange(change);
                     revision_ = std::max(revision_, result.revision);
-                    synced_at_ = std::max(synced_at_, sent);
-                    if (!busy_ && context_->now >= next_watch_) Watch();
+                    synced_at_ = std::max(synced_at_, sent_at);
+                    if (!request_in_flight_ && context_->now >= next_watch_at_)
+                      SendWatch();
                   });
 }
 
-void JobCache::Apply(const KeyValue& change) {
+void JobCache::ApplyChange(const KeyValue& change) {
   if (change.key == keys::kLeader) {
     if (change.removed)
       ApplyLeader(0, LeaderRecord(), change.version);
@@ -81,36 +91,37 @@
       ApplyLeader(change.version, *leader, change.version);
     return;
   }
-  if (const std::string id = keys::After(change.key, keys::kLive);
+  if (const std::string id = keys::StripPrefix(change.key, keys::kLivePrefix);
       !id.empty()) {
     if (!change.removed) ApplyLiveJob(id, change.version, change.value);
-    return;  // a removal comes with the final key, in the same transaction
+    return;  // a removal adds the final key in the same transaction
   }
-  if (const std::string id = keys::After(change.key, keys::kFinal);
+  if (const std::string id = keys::StripPrefix(change.key, keys::kFinalPrefix);
       !id.empty() && !change.removed) {
     if (const auto state = protocol::ParseFinalState(change.value))
       ApplyFinalState(id, *state);
   }
 }
 
-CachedJob* JobCache::FindLive(const std::string& id) {
-  auto it = live_.find(id);
-  return it == live_.end() ? nullptr : &it->second;
+CachedJob* JobCache::FindLiveJob(const std::string& id) {
+  auto found = live_jobs_.find(id);
+  return found == live_jobs_.end() ? nullptr : &found->second;
 }
 
-std::optional<FinalState> JobCache::FindFinal(const std::string& id) const {
-  auto it = final_.find(id);
-  if (it == final_.end()) return std::nullopt;
-  return it->second;
+std::optional<FinalState> JobCache::FindFinalState(
+    const std::string& id) const {
+  auto found = final_states_.find(id);
+  if (found == final_states_.end()) return std::nullopt;
+  return found->second;
 }
 
 void JobCache::ApplyLiveJob(const std::string& id, uint64_t version,
                             const std::string& value) {
-  auto known = live_.find(id);
-  if (known != live_.end() && known->second.version >= version) return;
+  auto cached = live_jobs_.find(id);
+  if (cached != live_jobs_.end() && cached->second.version >= version) return;
   auto job = protocol::ParseLiveJob(value);
   if (!job || job->spec.id != id) {
-    context_->Error("job record can't be read", {{"job", id}});
+    context_->Error("job record could not be parsed", {{"job", id}});
     return;
   }
   ApplyLiveJob(id, version, std::make_shared<LiveJob>(std::move(*job)));
@@ -118,44 +129,45 @@
 
 void JobCache::ApplyLiveJob(const std::string& id, uint64_t version,
                             std::shared_ptr<const LiveJob> job) {
-  if (final_.count(id)) return;  // late news: the job has ended
-  CachedJob& known = live_[id];
-  if (known.version >= version) return;
-  known.version = version;
-  known.job = std::move(job);
-  known.counts.id = id;
-  if (on_job_live) on_job_live(id);
+  if (final_states_.count(id)) return;  // a late update: the job has ended
+  CachedJob& cached = live_jobs_[id];
+  if (cached.version >= version) return;
+  cached.version = version;
+  cached.job = std::move(job);
+  cached.counts.id = id;
+  if (on_job_added) on_job_added(id);
 }
 
 void JobCache::ApplyFinalState(const std::string& id, FinalState state) {
-  if (!final_.emplace(id, state).second) return;
-  final_order_.push_back(id);
-  if (final_order_.size() > kFinalStateCacheSize) {
-    final_.erase(final_order_.front());
-    final_order_.pop_front();
+  if (!final_states_.emplace(id, state).second) return;
+  final_states_in_order_.push_back(id);
+  if (final_states_in_order_.size() > kFinalStateCacheSize) {
+    final_states_.erase(final_states_in_order_.front());
+    final_states_in_order_.pop_front();
   }
-  live_.erase(id);
+  live_jobs_.erase(id);
   if (on_job_ended) on_job_ended(id, state);
 }
 
 void JobCache::ApplyListing(const StateResult& listing) {
-  std::map<std::string, bool> present;
+  std::map<std::string, bool> listed_jobs;
   for (const KeyValue& item : listing.items) {
-    const std::string id = keys::After(item.key, keys::kLive);
-    present[id] = true;
+    const std::string id = keys::StripPrefix(item.key, keys::kLivePrefix);
+    listed_jobs[id] = true;
     ApplyLiveJob(id, item.version, item.value);
   }
-  // What we hold from before the listing and it lacks has ended; how, is read
-  // from its final key.
-  for (const auto& [id, known] : live_) {
-    if (present.count(id) || known.version > listing.revision) continue;
-    context_->Get(
-        StateConnection::kLeader, keys::Final(id),
-        [this, id = id](const StateResult& got) {
-          if (got.outcome != Outcome::kOk || got.items.empty()) return;
-          if (const auto state = protocol::ParseFinalState(got.items[0].value))
-            ApplyFinalState(id, *state);
-        });
+  // Jobs that are older than the listing but missing from it have ended. The
+  // final key says whether they are done or cancelled.
+  for (const auto& [id, cached] : live_jobs_) {
+    if (listed_jobs.count(id) || cached.version > listing.revision) continue;
+    context_->Get(StateConnection::kLeader, keys::ForFinalState(id),
+                  [this, id = id](const StateResult& result) {
+                    if (result.outcome != Outcome::kOk || result.items.empty())
+                      return;
+                    if (const auto state =
+                            protocol::ParseFinalState(result.items[0].value))
+                      ApplyFinalState(id, *state);
+                  });
   }
 }
 
--- a/src/core/coordination/job_cache.h
+++ b/src/core/coordination/job_cache.h
@@ -1,6 +1,6 @@
-// Every controller's copy of the jobs and of the leader key, kept by a watch.
-// A job moves once, from live to final, and never back: whatever order the
-// news come in, a final state is not undone.
+// Every controller's copy of the live jobs, the latest final states and the
+// leader key, kept up to date by a watch. A job changes once, from live to
+// final: a final state is never undone, in whatever order updates arrive.
 #pragma once
 
 #include <deque>
@@ -16,66 +16,71 @@
 namespace sorrelwood {
 
 struct CachedJob {
-  uint64_t version = 0;
+  uint64_t version = 0;  // of the live key; 0: no version applied yet
   std::shared_ptr<const LiveJob> job;
-  JobCounts counts;  // for display, from the leader's notes
+  JobCounts counts;  // as last reported by the leader, for display only
 };
 
 class JobCache {
  public:
-  // Watches are sent no more often than `watch_every_s`.
-  explicit JobCache(Context* context, double watch_every_s = 0)
-      : context_(context), watch_every_s_(watch_every_s) {}
+  // Two watches are sent at least `min_watch_interval_s` apart.
+  explicit JobCache(Context* context, double min_watch_interval_s = 0)
+      : context_(context), min_watch_interval_s_(min_watch_interval_s) {}
 
   void Tick();
 
   bool loaded() const { return loaded_; }
-  // A moment by which every earlier change is known here.
+  // The cache contains every change that was committed before this time (steady
+  // clock, s).
   double synced_at() const { return synced_at_; }
 
-  CachedJob* FindLive(const std::string& id);
-  std::optional<FinalState> FindFinal(const std::string& id) const;
-  const std::map<std::string, CachedJob>& live() const { return live_; }
+  CachedJob* FindLiveJob(const std::string& id);
+  std::optional<FinalState> FindFinalState(const std::string& id) const;
+  const std::map<std::string, CachedJob>& live_jobs() const {
+    return live_jobs_;
+  }
 
   void ApplyLiveJob(const std::string& id, uint64_t version,
                     const std::string& value);
   void ApplyLiveJob(const std::string& id, uint64_t version,
                     std::shared_ptr<const LiveJob> job);
   void ApplyFinalState(const std::string& id, FinalState state);
-  // Takes a listing of the live keys that is of `revision` or later.
+  // Applies a listing of all live keys. Cached jobs that it lacks have ended:
+  // their final states are requested.
   void ApplyListing(const StateResult& listing);
 
-  // The leader key as last seen: version 0 when it is absent.
+  // The leader key as last seen. A version of 0 means that the key is absent.
   bool leader_known() const { return leader_known_; }
   uint64_t leader_version() const { return leader_version_; }
   const LeaderRecord& leader() const { return leader_; }
-  // Told by whoever changed the leader key or read it.
+  // Called after the leader key was read or changed, as of `revision`.
+  // `version` is 0 if the key is absent.
   void ApplyLeader(uint64_t version, const LeaderRecord& leader,
                    uint64_t revision);
 
-  // Called for each job that is new or that ends.
-  std::function<void(const std::string& id)> on_job_live;
+  // Called for each new live job, and for each job that ends.
+  std::function<void(const std::string& id)> on_job_added;
   std::function<void(const std::string& id, FinalState)> on_job_ended;
 
  private:
-  void Load();
-  void Watch();
-  void Apply(const KeyValue& change);
+  void LoadListing();
+  void SendWatch();
+  void ApplyChange(const KeyValue& change);
 
   Context* context_;
-  const double watch_every_s_;
-  double next_watch_ = 0;
-  std::map<std::string, CachedJob> live_;
-  std::unordered_map<std::string, FinalState> final_;
-  std::deque<std::string> final_order_;
+  const double min_watch_interval_s_;
+  double next_watch_at_ = 0;
+  std::map<std::string, CachedJob> live_jobs_;
+  std::unordered_map<std::string, FinalState> final_states_;
+  std::deque<std::string> final_states_in_order_;  // job ids, oldest first
   bool loaded_ = false;
-  bool busy_ = false;  // a listing or a watch is under way
+  bool request_in_flight_ = false;  // a listing or a watch
   double retry_at_ = 0;
-  uint64_t revision_ = 0;
-  double synced_at_ = -1e9;
+  uint64_t revision_ = 0;    // the next watch starts after this revision
+  double synced_at_ = -1e9;  // steady clock, s; -1e9: never synced
   bool leader_known_ = false;
   uint64_t leader_version_ = 0;
-  uint64_t leader_revision_ = 0;  // news older than this are not applied
+  uint64_t leader_revision_ = 0;  // leader updates older than this are ignored
   LeaderRecord leader_;
 };
 
--- a/src/core/coordination/job_finisher.cc
+++ b/src/core/coordination/job_finisher.cc
@@ -8,25 +8,25 @@
 
 namespace sorrelwood {
 
-void JobFinisher::CommitEnds() {
-  while (!completed_jobs_.empty() && writer_->MayCommitJobEnd()) {
-    Job* job = jobs_->Find(completed_jobs_.front());
-    completed_jobs_.pop_front();
-    if (job && !job->finishing) Commit(job);
+void JobFinisher::CommitJobEnds() {
+  while (!completed_job_ids_.empty() && writer_->MayCommitJobEnd()) {
+    Job* job = jobs_->Find(completed_job_ids_.front());
+    completed_job_ids_.pop_front();
+    if (job && !job->finishing) CommitJobEnd(job);
   }
 }
 
-// The version of the live key is a precondition. Guards against a job that a
-// user has cancelled and been told so, and that ends as done.
-void JobFinisher::Commit(Job* job) {
+// The version of the live key is a precondition: a job whose cancellation has
+// been confirmed to the user must not end as done.
+void JobFinisher::CommitJobEnd(Job* job) {
   job->finishing = true;
   const std::string id = job->id();
   std::vector<Mutation> mutations = {
-      {true, keys::Live(id), "", 0},
-      {false, keys::Final(id), protocol::EncodeFinalState(FinalState::kDone),
-       0}};
+      {/*remove=*/true, keys::ForLiveJob(id), "", 0},
+      {/*remove=*/false, keys::ForFinalState(id),
+       protocol::EncodeFinalState(FinalState::kDone), 0}};
   writer_->CommitJobEnd(
-      {{keys::Live(id), job->version}}, std::move(mutations),
+      {{keys::ForLiveJob(id), job->version}}, std::move(mutations),
       [this, id](const StateResult& result) { OnCommitResult(id, result); });
 }
 
@@ -38,15 +38,15 @@
   }
   if (Job* unfinished = jobs_->Find(id)) {
     unfinished->finishing = false;
-    completed_jobs_.push_back(id);  // to be retried
+    completed_job_ids_.push_back(id);  // retry
   }
-  // The job was cancelled, or an earlier attempt was carried out although its
-  // response was lost: the final key tells which.
+  // Either the job was cancelled, or an earlier attempt was committed but its
+  // response was lost. The final key tells which.
   if (result.outcome == Outcome::kConflict) ReadFinalState(id);
 }
 
 void JobFinisher::ReadFinalState(const std::string& id) {
-  context_->Get(StateConnection::kLeader, keys::Final(id),
+  context_->Get(StateConnection::kLeader, keys::ForFinalState(id),
                 [this, id](const StateResult& result) {
                   if (result.outcome != Outcome::kOk || result.items.empty())
                     return;
--- a/src/core/coordination/job_finisher.h
+++ b/src/core/coordination/job_finisher.h
@@ -1,5 +1,5 @@
-// Commits the end of jobs whose tasks are all done: in one transaction the live
-// key goes and the final key comes.
+// Commits the end of jobs whose tasks are all done: one transaction removes the
+// live key and writes the final key.
 #pragma once
 
 #include <deque>
@@ -21,15 +21,15 @@
         job_cache_(job_cache),
         writer_(writer) {}
 
-  // All tasks of the job are done: its end is to be committed, in turn.
-  void Enqueue(const std::string& id) { completed_jobs_.push_back(id); }
-  // Commits as many ends as the write rate allows now.
-  void CommitEnds();
-  // The term has ended.
-  void Clear() { completed_jobs_.clear(); }
+  // Queues the end of a job whose tasks are all done.
+  void Enqueue(const std::string& id) { completed_job_ids_.push_back(id); }
+  // Commits as many job ends as the write rate currently allows.
+  void CommitJobEnds();
+  // Called when the term has ended.
+  void Clear() { completed_job_ids_.clear(); }
 
  private:
-  void Commit(Job* job);
+  void CommitJobEnd(Job* job);
   void OnCommitResult(const std::string& id, const StateResult& result);
   void ReadFinalState(const std::string& id);
 
@@ -37,7 +37,7 @@
   JobTable* jobs_;
   JobCache* job_cache_;
   StateWriter* writer_;
-  std::deque<std::string> completed_jobs_;
+  std::deque<std::string> completed_job_ids_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -7,26 +7,34 @@
 #include "protocol/stored_records_codec.h"
 
 namespace sorrelwood {
+namespace {
+
+constexpr double kRenewalRetryS = 0.2;  // pause after a failed renewal
+// Pause after the term record could not be parsed.
+constexpr double kUnreadableTermRetryS = 1;
+
+}  // namespace
 
 LeaderElection::LeaderElection(Context* context, JobCache* job_cache,
-                               std::string node, double lease_s,
+                               std::string node, double worker_lease_s,
                                double cancel_deadline_s)
     : context_(context),
       job_cache_(job_cache),
       node_(std::move(node)),
-      // A worker's tasks outlive the last answer by its lease, and must be gone
-      // within cancel_deadline_s of a cancellation that this leader did not
-      // see.
-      worker_lease_renewal_window_s_(std::max(
-          kLeaderLeaseS, cancel_deadline_s - lease_s * (1 + kClockDrift) -
-                             kWorkerLeaseMarginS)) {}
+      // Tasks keep running for the worker's lease after its last answered
+      // heartbeat, and must have stopped within cancel_deadline_s of a
+      // cancellation that this leader did not see.
+      worker_lease_renewal_window_s_(
+          std::max(kLeaderLeaseS, cancel_deadline_s -
+                                      worker_lease_s * (1 + kClockDrift) -
+                                      kWorkerLeaseMarginS)) {}
 
 Precondition LeaderElection::leader_precondition() const {
-  return Precondition{keys::kLeader, version_};
+  return Precondition{keys::kLeader, leader_key_version_};
 }
 
 double LeaderElection::dispatch_deadline() const {
-  return confirmed_at_ + kLeaderLeaseS * (1 - kClockDrift) -
+  return lease_confirmed_at_ + kLeaderLeaseS * (1 - kClockDrift) -
          kDispatchLeaseMarginS;
 }
 
@@ -40,27 +48,28 @@
   if (leading_ && term > term_) StepDown("a higher term is known");
 }
 
-void LeaderElection::StepDown(const std::string& why) {
+void LeaderElection::StepDown(const std::string& reason) {
   if (!leading_) return;
   leading_ = false;
-  lease_ = 0;
+  lease_id_ = 0;
   retry_at_ = context_->now + kElectionRetryS;
-  context_->Info("leadership lost", {{"term", term_}, {"reason", why}});
+  context_->Info("leadership lost", {{"term", term_}, {"reason", reason}});
   if (on_leadership_lost) on_leadership_lost();
 }
 
-void LeaderElection::Resign(const std::string& why) {
-  if (!leading_ || context_->now < next_resignation_) return;
-  next_resignation_ = context_->now + kResignIntervalS;
-  const Precondition key = leader_precondition();
-  StepDown(why);
+void LeaderElection::Resign(const std::string& reason) {
+  if (!leading_ || context_->now < next_resignation_at_) return;
+  next_resignation_at_ = context_->now + kResignIntervalS;
+  const Precondition own_leader_key = leader_precondition();
+  StepDown(reason);
   retry_at_ = context_->now + kResignPauseS;
-  context_->Transact(
-      StateConnection::kLeaseRenewal, {key}, {{true, keys::kLeader, "", 0}},
-      [this](const StateResult& result) {
-        if (result.outcome == Outcome::kOk)
-          job_cache_->ApplyLeader(0, LeaderRecord(), result.revision);
-      });
+  context_->Transact(StateConnection::kLeaseRenewal, {own_leader_key},
+                     {{/*remove=*/true, keys::kLeader, "", 0}},
+                     [this](const StateResult& result) {
+                       if (result.outcome == Outcome::kOk)
+                         job_cache_->ApplyLeader(0, LeaderRecord(),
+                                                 result.revision);
+                     });
 }
 
 void LeaderElection::Tick() {
@@ -68,93 +77,93 @@
     highest_term_ = std::max(highest_term_, job_cache_->leader().term);
   if (leading_) {
     if (job_cache_->leader_known() &&
-        job_cache_->leader_version() != version_) {
+        job_cache_->leader_version() != leader_key_version_) {
       StepDown("the leader key has changed");
       return;
     }
-    Renew();
+    RenewLeaderLease();
     return;
   }
   if (!job_cache_->leader_known() || job_cache_->leader_version() != 0)
-    absent_since_ = 0;
-  else if (absent_since_ == 0)
-    absent_since_ = context_->now;
-  if (electing_ || !job_cache_->loaded() || context_->now < retry_at_) return;
-  // It heard few machines a short while ago: the others go first. Guards
-  // against the lead coming back to a node that is still cut off when the next
-  // leader fails.
-  if (absent_since_ > 0 && context_->now < next_resignation_ &&
-      context_->now < absent_since_ + kResignedElectionDelayS)
+    leader_absent_since_ = 0;
+  else if (leader_absent_since_ == 0)
+    leader_absent_since_ = context_->now;
+  if (election_in_flight_ || !job_cache_->loaded() || context_->now < retry_at_)
+    return;
+  // After a resignation the other nodes go first. Guards against re-electing a
+  // node that is still cut off from the workers when its successor fails.
+  if (leader_absent_since_ > 0 && context_->now < next_resignation_at_ &&
+      context_->now < leader_absent_since_ + kResignedElectionDelayS)
     return;
   if (job_cache_->leader_version() == 0)
     StartElection();
   else if (job_cache_->leader().node == node_)
-    RemoveOwnStaleKey();
+    RemoveOwnStaleLeaderKey();
 }
 
-// The key names this node but this process does not lead: an earlier process of
-// the node held it, or a claim of ours was carried out late. Either way nobody
-// acts on it, so the wait for its lease is saved.
-void LeaderElection::RemoveOwnStaleKey() {
-  electing_ = true;
-  context_->Transact(
-      StateConnection::kLeaseRenewal,
-      {{keys::kLeader, job_cache_->leader_version()}},
-      {{true, keys::kLeader, "", 0}}, [this](const StateResult& result) {
-        electing_ = false;
-        retry_at_ = context_->now + kElectionRetryS;
-        if (result.outcome == Outcome::kOk) {
-          job_cache_->ApplyLeader(0, LeaderRecord(), result.revision);
-          retry_at_ = 0;
-        }
-      });
+void LeaderElection::RemoveOwnStaleLeaderKey() {
+  election_in_flight_ = true;
+  context_->Transact(StateConnection::kLeaseRenewal,
+                     {{keys::kLeader, job_cache_->leader_version()}},
+                     {{/*remove=*/true, keys::kLeader, "", 0}},
+                     [this](const StateResult& result) {
+                       election_in_flight_ = false;
+                       retry_at_ = context_->now + kElectionRetryS;
+                       if (result.outcome == Outcome::kOk) {
+                         job_cache_->ApplyLeader(0, LeaderRecord(),
+                                                 result.revision);
+                         retry_at_ = 0;
+                       }
+                     });
 }
 
 void LeaderElection::StartElection() {
-  electing_ = true;
-  const double sent = context_->now;
-  context_->CreateLease(kLeaderLeaseS, [this, sent](const StateResult& result) {
+  election_in_flight_ = true;
+  const double sent_at = context_->now;
+  context_->CreateLease(kLeaderLeaseS, [this,
+                                        sent_at](const StateResult& result) {
     if (result.outcome != Outcome::kOk) {
-      electing_ = false;
+      election_in_flight_ = false;
       retry_at_ = context_->now + kElectionRetryS * (1 + context_->Random());
       return;
     }
-    AcquireLeaderKey(result.lease, sent);
+    AcquireLeaderKey(result.lease, sent_at);
   });
 }
 
-void LeaderElection::AcquireLeaderKey(uint64_t lease, double created) {
+void LeaderElection::AcquireLeaderKey(uint64_t lease, double lease_sent_at) {
   context_->Get(
       StateConnection::kLeaseRenewal, keys::kTerm,
-      [this, lease, created](const StateResult& got) {
-        uint64_t term = 0, version = 0;
-        if (got.outcome == Outcome::kOk && !got.items.empty()) {
-          version = got.items[0].version;
-          const auto stored_term = protocol::ParseTerm(got.items[0].value);
+      [this, lease, lease_sent_at](const StateResult& term_result) {
+        uint64_t term = 0, term_version = 0;
+        if (term_result.outcome == Outcome::kOk && !term_result.items.empty()) {
+          term_version = term_result.items[0].version;
+          const auto stored_term =
+              protocol::ParseTerm(term_result.items[0].value);
           if (!stored_term) {
-            context_->Error("term record can't be read");
-            electing_ = false;
-            retry_at_ = context_->now + 1;
+            context_->Error("term record could not be parsed");
+            election_in_flight_ = false;
+            retry_at_ = context_->now + kUnreadableTermRetryS;
             return;
           }
           term = *stored_term;
-        } else if (got.outcome != Outcome::kConflict) {
-          electing_ = false;
+        } else if (term_result.outcome != Outcome::kConflict) {
+          election_in_flight_ = false;
           retry_at_ = context_->now + kElectionRetryS;
           return;
         }
-        // Past any term that a worker has shown, so that none drops our
-        // answers.
+        // Higher than any term that a worker has reported: a worker rejects
+        // responses of a lower term.
         term = std::max(term, highest_term_) + 1;
         const LeaderRecord record{node_, term};
         context_->Transact(
             StateConnection::kLeaseRenewal,
-            {{keys::kLeader, 0}, {keys::kTerm, version}},
-            {{false, keys::kLeader, protocol::EncodeLeaderRecord(record),
-              lease},
-             {false, keys::kTerm, protocol::EncodeTerm(term), 0}},
-            [this, lease, created, record](const StateResult& result) {
-              electing_ = false;
+            {{keys::kLeader, 0}, {keys::kTerm, term_version}},
+            {{/*remove=*/false, keys::kLeader,
+              protocol::EncodeLeaderRecord(record), lease},
+             {/*remove=*/false, keys::kTerm, protocol::EncodeTerm(term), 0}},
+            [this, lease, lease_sent_at, record](const StateResult& result) {
+              election_in_flight_ = false;
               if (result.outcome != Outcome::kOk) {
                 retry_at_ =
                     context_->now + kElectionRetryS * (1 + context_->Random());
@@ -163,36 +172,37 @@
               leading_ = true;
               term_ = record.term;
               highest_term_ = std::max(highest_term_, term_);
-              version_ = result.revision;
-              lease_ = lease;
-              confirmed_at_ = created;
-              next_renewal_ = context_->now;
-              renewing_ = renewal_refused_ = false;
-              job_cache_->ApplyLeader(version_, record, result.revision);
+              leader_key_version_ = result.revision;
+              lease_id_ = lease;
+              lease_confirmed_at_ = lease_sent_at;
+              next_renewal_at_ = context_->now;
+              renewal_in_flight_ = renewal_refused_ = false;
+              job_cache_->ApplyLeader(leader_key_version_, record,
+                                      result.revision);
               context_->Info("leadership acquired", {{"term", term_}});
               if (on_leadership_acquired) on_leadership_acquired();
             });
       });
 }
 
-void LeaderElection::Renew() {
-  if (renewing_ || context_->now < next_renewal_) return;
-  renewing_ = true;
-  const double sent = context_->now;
-  context_->RenewLease(lease_,
-                       [this, sent, lease = lease_](const StateResult& result) {
-                         if (!leading_ || lease != lease_) return;
-                         renewing_ = false;
-                         renewal_refused_ = result.outcome == Outcome::kRefused;
-                         if (result.outcome == Outcome::kOk) {
-                           confirmed_at_ = sent;
-                           next_renewal_ = sent + kLeaderLeaseRenewIntervalS;
-                         } else if (result.outcome == Outcome::kConflict) {
-                           StepDown("the leader's lease has ended");
-                         } else {
-                           next_renewal_ = context_->now + 0.2;
-                         }
-                       });
+void LeaderElection::RenewLeaderLease() {
+  if (renewal_in_flight_ || context_->now < next_renewal_at_) return;
+  renewal_in_flight_ = true;
+  const double sent_at = context_->now;
+  context_->RenewLease(
+      lease_id_, [this, sent_at, lease = lease_id_](const StateResult& result) {
+        if (!leading_ || lease != lease_id_) return;
+        renewal_in_flight_ = false;
+        renewal_refused_ = result.outcome == Outcome::kRefused;
+        if (result.outcome == Outcome::kOk) {
+          lease_confirmed_at_ = sent_at;
+          next_renewal_at_ = sent_at + kLeaderLeaseRenewIntervalS;
+        } else if (result.outcome == Outcome::kConflict) {
+          StepDown("the leader's lease has ended");
+        } else {
+          next_renewal_at_ = context_->now + kRenewalRetryS;
+        }
+      });
 }
 
 }  // namespace sorrelwood
--- a/src/core/coordination/leader_election.h
+++ b/src/core/coordination/leader_election.h
@@ -1,6 +1,7 @@
-// Who leads. The leader key hangs on a lease of the state service; taking it
-// raises the term in the same transaction. The term is the token that workers
-// are given and the upper half of every attempt number.
+// Elects the leader. The leader key is attached to a lease of the state
+// service; the transaction that creates the key also increments the term. The
+// term is the fencing token sent to workers and the upper half of every attempt
+// number.
 #pragma once
 
 #include "base/constants.h"
@@ -12,66 +13,83 @@
 class LeaderElection {
  public:
   LeaderElection(Context* context, JobCache* job_cache, std::string node,
-                 double lease_s, double cancel_deadline_s);
+                 double worker_lease_s, double cancel_deadline_s);
 
   void Tick();
-  void ObserveTerm(uint64_t term);  // from a peer or a worker
+  // Called with each term that a peer or a worker reports. A leader steps down
+  // if it is higher than its own.
+  void ObserveTerm(uint64_t term);
 
   bool leading() const { return leading_; }
   uint64_t term() const { return term_; }
   uint64_t highest_term() const { return highest_term_; }
-  // Guards against a late write of a leader that has been replaced.
+  // Makes late writes of a replaced leader fail.
   Precondition leader_precondition() const;
 
-  // Nobody else can lead yet: launches may leave. Guards against a leader that
-  // was cut off and goes on placing; and, by its last look at the jobs and the
-  // first renewal refused, against one that starts what others have told users
-  // is cancelled.
+  // Whether tasks may be started and machines rented or released: no other node
+  // can be leader yet. Guards against a partitioned leader that continues to
+  // place tasks. The age of the job cache and the first refused renewal also
+  // count: other nodes may have confirmed cancellations that this node has not
+  // seen.
   bool MayDispatch() const {
     return leading_ && !renewal_refused_ &&
            context_->now < dispatch_deadline() &&
            context_->now < job_cache_->synced_at() + kDispatchMaxCacheAgeS;
   }
-  double dispatch_deadline() const;  // (steady clock, s)
-  // The workers may be kept (their reports answered): guards against
-  // both losing all work in an outage and keeping work that a user was told is
-  // cancelled.
+  // MayDispatch() is false from this time on unless the leader's lease is
+  // renewed (steady clock, s).
+  double dispatch_deadline() const;
+  // Whether heartbeats may be answered, which renews the workers' leases. The
+  // window keeps running tasks alive through an outage of the state service,
+  // but not tasks whose cancellation has been confirmed to a user.
   bool MayRenewWorkerLeases() const;
-  // How long after its last look at the jobs a leader answers reports (s).
+  // How long a leader answers heartbeats after the job cache was last synced
+  // (s).
   double worker_lease_renewal_window_s() const {
     return worker_lease_renewal_window_s_;
   }
 
-  void StepDown(const std::string& why);
-  // Leaves the lead to a node that may reach the workers when this one does
-  // not. Not again for a while: when all machines are dead, no node reaches
-  // them.
-  void Resign(const std::string& why);
+  // Stops leading, without touching the leader key.
+  void StepDown(const std::string& reason);
+  // Steps down and removes the leader key, so that a node that can reach the
+  // workers may take over. Does nothing within kResignIntervalS of the last
+  // resignation: if all machines are down, no node can reach them.
+  void Resign(const std::string& reason);
   std::function<void()> on_leadership_acquired, on_leadership_lost;
 
  private:
   void StartElection();
-  void AcquireLeaderKey(uint64_t lease, double created);
-  void Renew();
-  void RemoveOwnStaleKey();
+  // Increments the term and creates the leader key. `lease_sent_at`: when the
+  // creation of the lease was requested (steady clock, s).
+  void AcquireLeaderKey(uint64_t lease, double lease_sent_at);
+  void RenewLeaderLease();
+  // Removes a leader key that names this node although this process does not
+  // lead: an earlier process of the node held it, or a claim of this process
+  // was committed late. No process acts on that key, so waiting for its lease
+  // to expire is unnecessary.
+  void RemoveOwnStaleLeaderKey();
 
   Context* context_;
   JobCache* job_cache_;
   std::string node_;
   double worker_lease_renewal_window_s_;
   bool leading_ = false;
-  bool electing_ = false;
-  double retry_at_ = 0;
-  uint64_t term_ = 0;
-  uint64_t highest_term_ = 0;
-  uint64_t version_ = 0;
-  uint64_t lease_ = 0;
-  bool renewing_ = false;
-  bool renewal_refused_ = false;  // the last one was
-  double next_renewal_ = 0;
-  double next_resignation_ = 0;
-  double absent_since_ = 0;  // the leader key, as seen here; 0: it is there
-  double confirmed_at_ = 0;  // when the last renewal that succeeded was sent
+  bool election_in_flight_ = false;
+  double retry_at_ = 0;        // no election starts before (steady clock, s)
+  uint64_t term_ = 0;          // of this process's latest leadership
+  uint64_t highest_term_ = 0;  // known from any node or worker
+  uint64_t leader_key_version_ = 0;  // as written by this process
+  uint64_t lease_id_ = 0;
+  bool renewal_in_flight_ = false;
+  bool renewal_refused_ = false;    // whether the last renewal was refused
+  double next_renewal_at_ = 0;      // steady clock, s
+  double next_resignation_at_ = 0;  // earliest (steady clock, s)
+  // When the job cache first showed no leader key (steady clock, s); 0: the key
+  // exists or its state is unknown.
+  double leader_absent_since_ = 0;
+  // When the last successful renewal, or the creation of the lease, was sent
+  // (steady clock, s).
+  double lease_confirmed_at_ = 0;
 };
 
 }  // namespace sorrelwood
--- a/src/core/coordination/state_limits.h
+++ b/src/core/coordination/state_limits.h
@@ -1,6 +1,7 @@
-// The limits of the state service as this controller takes them to be. They may
-// fall to the announced ones (`state.next` in the settings) at a moment that
-// nobody announces; what has been seen to fall stays so.
+// Tracks the limits of the state service. The service may lower them to the
+// announced limits (`state.next` in the settings) at any time and without
+// notice, so this controller infers the change from refused writes. A limit
+// that was found to be lowered stays lowered.
 #pragma once
 
 #include <cstddef>
@@ -14,25 +15,27 @@
  public:
   explicit StateLimitTracker(const ClusterSettings& settings);
 
-  // Takes note of a write that was refused for its size or for the rate.
-  void Learn(const StateResult& result);
+  // Lowers the limit that a write exceeded, if it was refused for its size or
+  // for the rate. Called with every result of the state service.
+  void ObserveResult(const StateResult& result);
 
-  // Changes in one transaction: the smaller of both from the start, so that no
-  // batch is ever refused for its length.
+  // Mutations per transaction: the smaller of the current and the announced
+  // limit from the start, so that no batch is ever refused for its length.
   int max_mutations() const;
-  // Conditions in one transaction.
+  // Preconditions per transaction.
   size_t max_preconditions() const;
-  // Bytes of one value: as now, until a value is refused. Guards against
-  // records in a form that the version before can't read, while it may serve.
-  size_t value_bytes() const;
-  // Changes a second, of all controllers together.
-  double changes_per_s() const;
+  // Bytes per value: the current limit until a value is refused. Until then all
+  // records keep a form that the previous version of the software can read,
+  // since controllers of that version may still run.
+  size_t max_value_bytes() const;
+  // Mutations per second, of all controllers together.
+  double mutations_per_s() const;
 
  private:
-  StateLimits now_;
-  StateLimits next_;
-  bool values_fell_ = false;
-  bool rate_fell_ = false;
+  StateLimits current_;
+  StateLimits announced_;
+  bool value_limit_lowered_ = false;
+  bool rate_limit_lowered_ = false;
 };
 
 }  // namespace sorrelwood
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -13,21 +13,23 @@
 
 void StateWriter::Put(const std::string& key, std::string value,
                       WriteOptions options) {
-  auto [it, added] = waiting_.try_emplace(key);
-  Entry& entry = it->second;
-  entry.op = Mutation{false, key, std::move(value), 0};
-  entry.alone = false;
+  auto [pending, added] = pending_.try_emplace(key);
+  Entry& entry = pending->second;
+  entry.mutation = Mutation{/*remove=*/false, key, std::move(value), 0};
+  entry.send_alone = false;
   entry.options.urgent = options.urgent;
-  if (options.written) entry.options.written = std::move(options.written);
-  if (options.too_large) entry.options.too_large = std::move(options.too_large);
-  if (added) Line(key, options.urgent);
+  if (options.on_written)
+    entry.options.on_written = std::move(options.on_written);
+  if (options.on_too_large)
+    entry.options.on_too_large = std::move(options.on_too_large);
+  if (added) Enqueue(key, options.urgent);
 }
 
 void StateWriter::Remove(const std::string& key) {
-  auto [it, added] = waiting_.try_emplace(key);
-  it->second.op = Mutation{true, key, "", 0};
-  it->second.options = WriteOptions();
-  if (added) order_.push_back(key);
+  auto [pending, added] = pending_.try_emplace(key);
+  pending->second.mutation = Mutation{/*remove=*/true, key, "", 0};
+  pending->second.options = WriteOptions();
+  if (added) normal_queue_.push_back(key);
 }
 
 void StateWriter::Commit(std::vector<Precondition> preconditions,
@@ -64,132 +66,135 @@
 }
 
 void StateWriter::Tick() {
-  const double rate = limits_->changes_per_s() * kLeaderWriteShare;
-  const double gain = (context_->now - refilled_at_) * rate / 2;
+  const double rate = limits_->mutations_per_s() * kLeaderWriteShare;
+  const double refill = (context_->now - refilled_at_) * rate / 2;
   refilled_at_ = context_->now;
-  // What ends of jobs leave of their half is there for the rest.
-  job_end_tokens_ += gain;
-  const double left = std::max(0.0, job_end_tokens_ - rate / 2);
-  job_end_tokens_ -= left;
-  tokens_ = std::min(rate, tokens_ + gain + left);
-  while (!(urgent_.empty() && order_.empty()) && in_flight_ < 1 &&
-         context_->now >= next_send_ && tokens_ >= 1)
-    Send();
+  // Each bucket gets half of the rate. Tokens that job ends do not use go to
+  // all other writes.
+  job_end_tokens_ += refill;
+  const double surplus = std::max(0.0, job_end_tokens_ - rate / 2);
+  job_end_tokens_ -= surplus;
+  tokens_ = std::min(rate, tokens_ + refill + surplus);
+  while (!(urgent_queue_.empty() && normal_queue_.empty()) &&
+         batches_in_flight_ < 1 && context_->now >= next_send_at_ &&
+         tokens_ >= 1)
+    SendBatch();
 }
 
 std::vector<StateWriter::Entry> StateWriter::TakeBatch() {
-  const size_t most = std::min(static_cast<size_t>(limits_->max_mutations()),
-                               static_cast<size_t>(std::max(1.0, tokens_)));
+  const size_t max_entries =
+      std::min(static_cast<size_t>(limits_->max_mutations()),
+               static_cast<size_t>(std::max(1.0, tokens_)));
   std::vector<Entry> batch;
   size_t bytes = 0;
-  while (!(urgent_.empty() && order_.empty()) && batch.size() < most &&
-         bytes < kMaxWriteBytes) {
-    auto& line = urgent_.empty() ? order_ : urgent_;
-    const std::string key = line.front();
-    auto it = waiting_.find(key);
-    const bool alone = it->second.alone && !uncertain_.count(key);
-    if (alone && !batch.empty()) break;
-    line.pop_front();
-    if (uncertain_.count(key)) {
-      Read(key);
+  while (!(urgent_queue_.empty() && normal_queue_.empty()) &&
+         batch.size() < max_entries && bytes < kMaxWriteBytes) {
+    auto& queue = urgent_queue_.empty() ? normal_queue_ : urgent_queue_;
+    const std::string key = queue.front();
+    auto pending = pending_.find(key);
+    const bool send_alone =
+        pending->second.send_alone && !uncertain_keys_.count(key);
+    if (send_alone && !batch.empty()) break;
+    queue.pop_front();
+    if (uncertain_keys_.count(key)) {
+      ReadVersion(key);
       continue;
     }
-    bytes += it->second.op.value.size();
-    batch.push_back(std::move(it->second));
-    waiting_.erase(it);
-    if (alone) break;
+    bytes += pending->second.mutation.value.size();
+    batch.push_back(std::move(pending->second));
+    pending_.erase(pending);
+    if (send_alone) break;
   }
   return batch;
 }
 
-void StateWriter::Send() {
+void StateWriter::SendBatch() {
   std::vector<Entry> batch = TakeBatch();
   if (batch.empty()) return;
   std::vector<Mutation> mutations;
   std::vector<Precondition> preconditions;
   for (const Entry& entry : batch) {
-    const auto version = versions_.find(entry.op.key);
+    const auto version = versions_.find(entry.mutation.key);
     preconditions.push_back(
-        {entry.op.key, version == versions_.end() ? 0 : version->second});
-    mutations.push_back(entry.op);
+        {entry.mutation.key, version == versions_.end() ? 0 : version->second});
+    mutations.push_back(entry.mutation);
   }
-  ++in_flight_;
+  ++batches_in_flight_;
   Commit(std::move(preconditions), std::move(mutations),
          [this, batch = std::move(batch)](const StateResult& result) {
-           --in_flight_;
-           Sent(batch, result);
+           --batches_in_flight_;
+           OnBatchResult(batch, result);
          });
 }
 
-void StateWriter::Sent(std::vector<Entry> batch, const StateResult& result) {
+void StateWriter::OnBatchResult(std::vector<Entry> batch,
+                                const StateResult& result) {
   const bool too_large = result.refusal == StateRefusal::kTooLarge;
   if (result.outcome != Outcome::kOk && !too_large)
-    next_send_ = context_->now + kWriteRetryS;
+    next_send_at_ = context_->now + kWriteRetryS;
   const bool in_a_batch = batch.size() > 1;
   for (Entry& entry : batch) {
-    const std::string key = entry.op.key;
+    const std::string key = entry.mutation.key;
     if (result.outcome == Outcome::kOk) {
-      if (entry.op.remove)
+      if (entry.mutation.remove)
         versions_.erase(key);
       else
         versions_[key] = result.revision;
-      if (entry.options.written) entry.options.written();
+      if (entry.options.on_written) entry.options.on_written();
     } else if (too_large) {
-      Refused(std::move(entry), in_a_batch);
+      OnTooLarge(std::move(entry), in_a_batch);
     } else {
-      // It may have been carried out, or a late copy of an earlier write was:
-      // what the key holds is read first.
-      if (result.outcome != Outcome::kRefused) uncertain_.insert(key);
-      Queue(key, std::move(entry));
+      // The write may have been committed, or a late copy of an earlier write
+      // was: the key is read before the next write.
+      if (result.outcome != Outcome::kRefused) uncertain_keys_.insert(key);
+      Requeue(key, std::move(entry));
     }
   }
 }
 
-// Guards against a value that is never taken being tried for ever, and keeping
-// from the state service what waits behind it.
-void StateWriter::Refused(Entry&& entry, bool in_a_batch) {
-  const std::string key = entry.op.key;
+void StateWriter::OnTooLarge(Entry&& entry, bool in_a_batch) {
+  const std::string key = entry.mutation.key;
   if (in_a_batch) {
-    entry.alone = true;
-    Queue(key, std::move(entry));
+    entry.send_alone = true;
+    Requeue(key, std::move(entry));
     return;
   }
-  context_->Error("value over the state service's limit",
-                  {{"key", key}, {"bytes", entry.op.value.size()}});
-  if (entry.options.too_large) entry.options.too_large();
+  context_->Error("value exceeds the state service's size limit",
+                  {{"key", key}, {"bytes", entry.mutation.value.size()}});
+  if (entry.options.on_too_large) entry.options.on_too_large();
 }
 
-// Puts back what could not be written, unless a newer write of the key waits.
-void StateWriter::Queue(const std::string& key, Entry&& entry) {
+void StateWriter::Requeue(const std::string& key, Entry&& entry) {
   const bool urgent = entry.options.urgent;
-  if (waiting_.try_emplace(key, std::move(entry)).second) Line(key, urgent);
+  if (pending_.try_emplace(key, std::move(entry)).second) Enqueue(key, urgent);
 }
 
-void StateWriter::Read(const std::string& key) {
-  context_->Get(StateConnection::kLeader, key,
-                [this, key, generation = generation_](const StateResult& got) {
-                  if (generation != generation_) return;
-                  if (got.outcome == Outcome::kOk && !got.items.empty()) {
-                    versions_[key] = got.items[0].version;
-                    uncertain_.erase(key);
-                  } else if (got.outcome == Outcome::kConflict) {
-                    versions_.erase(key);
-                    uncertain_.erase(key);
-                  } else {
-                    next_send_ = context_->now + kWriteRetryS;
-                  }
-                  if (auto it = waiting_.find(key); it != waiting_.end())
-                    Line(key, it->second.options.urgent);
-                });
+void StateWriter::ReadVersion(const std::string& key) {
+  context_->Get(
+      StateConnection::kLeader, key,
+      [this, key, generation = generation_](const StateResult& result) {
+        if (generation != generation_) return;
+        if (result.outcome == Outcome::kOk && !result.items.empty()) {
+          versions_[key] = result.items[0].version;
+          uncertain_keys_.erase(key);
+        } else if (result.outcome == Outcome::kConflict) {
+          versions_.erase(key);
+          uncertain_keys_.erase(key);
+        } else {
+          next_send_at_ = context_->now + kWriteRetryS;
+        }
+        if (auto pending = pending_.find(key); pending != pending_.end())
+          Enqueue(key, pending->second.options.urgent);
+      });
 }
 
 void StateWriter::Clear() {
-  waiting_.clear();
-  urgent_.clear();
-  order_.clear();
+  pending_.clear();
+  urgent_queue_.clear();
+  normal_queue_.clear();
   versions_.clear();
-  uncertain_.clear();
-  in_flight_ = 0;
+  uncertain_keys_.clear();
+  batches_in_flight_ = 0;
   ++generation_;
 }
 
--- a/src/core/coordination/state_writer.h
+++ b/src/core/coordination/state_writer.h
@@ -1,7 +1,7 @@
-// The leader's writes: batched, paced under the state service's rate, each
-// guarded by the leader key and by the version that the key itself had. The
-// second guards against a late copy of an older write undoing a newer
-// one.
+// Writes the leader's records in batches and below the state service's rate
+// limit. Each write has two preconditions: the leader key, and the version of
+// the written key itself. The latter prevents a late copy of an older write
+// from undoing a newer one.
 #pragma once
 
 #include <deque>
@@ -18,42 +18,46 @@
 
 class StateWriter {
  public:
-  // What becomes of one write.
   struct WriteOptions {
-    std::function<void()> written;
-    // The value is over the state service's limit: it is not tried again.
-    std::function<void()> too_large;
+    // Called when the write is committed.
+    std::function<void()> on_written;
+    // Called when the value exceeds the state service's limit: the write is not
+    // retried.
+    std::function<void()> on_too_large;
+    // Whether it is sent before all writes that are not urgent.
     bool urgent = false;
   };
 
   StateWriter(Context* context, LeaderElection* election,
               const StateLimitTracker* limits);
 
-  // Repeated until it is committed or found to be too large; a later write of
-  // the same key replaces one that has not left yet. What nothing may be
-  // launched or rented before is urgent: it goes before progress, which would
-  // keep a new fleet waiting.
+  // Queues a write and retries it until it is committed or found to be too
+  // large. A later write of the same key replaces a pending one. Records that
+  // must be stored before a task may start or a machine may be rented are
+  // urgent: queued behind completion records they would delay a new fleet.
   void Put(const std::string& key, std::string value, WriteOptions options);
   void Put(const std::string& key, std::string value) {
     Put(key, std::move(value), WriteOptions());
   }
   void Remove(const std::string& key);
-  // What a listing says of a key, before the first write to it.
+  // Sets the version of a key that a listing has returned. Called before the
+  // first write to the key.
   void CacheVersion(const std::string& key, uint64_t version) {
     versions_[key] = version;
   }
-  // A transaction of its own, tried once.
+  // Sends a separate transaction once, without retry.
   void Commit(std::vector<Precondition> preconditions,
               std::vector<Mutation> mutations, StateCallback done);
-  // Whether the end of one more job fits under the rate now. Ends have half of
-  // the rate to themselves: guards against the progress of running
-  // arrays keeping users from hearing that their jobs are done.
+  // Whether the rate limit currently allows the end of one more job. Half of
+  // the rate is reserved for job ends, so that completion records of running
+  // arrays do not delay the end of other jobs.
   bool MayCommitJobEnd() const {
     return job_end_tokens_ >= kMutationsPerJobEnd ||
-           (tokens_ >= kMutationsPerJobEnd && urgent_.empty() &&
-            order_.empty());
+           (tokens_ >= kMutationsPerJobEnd && urgent_queue_.empty() &&
+            normal_queue_.empty());
   }
-  // The end of a job: kMutationsPerJobEnd changes, or a few more.
+  // Sends the end of a job once: kMutationsPerJobEnd mutations or slightly
+  // more.
   void CommitJobEnd(std::vector<Precondition> preconditions,
                     std::vector<Mutation> mutations, StateCallback done);
 
@@ -62,37 +66,48 @@
 
  private:
   struct Entry {
-    Mutation op;
+    Mutation mutation;
     WriteOptions options;
-    // A batch with it was refused for its size: it leaves alone, so that it
-    // neither holds up others nor is tried for ever.
-    bool alone = false;
+    // Set after a batch with this entry was refused for its size. Sent alone,
+    // the entry cannot block others, and one that is too large itself is found.
+    bool send_alone = false;
   };
-  void Line(const std::string& key, bool urgent) {
-    (urgent ? urgent_ : order_).push_back(key);
+  void Enqueue(const std::string& key, bool urgent) {
+    (urgent ? urgent_queue_ : normal_queue_).push_back(key);
   }
   void Transact(std::vector<Precondition> preconditions,
                 std::vector<Mutation> mutations, StateCallback done);
-  void Send();
-  // What goes into one transaction, from the front of the lines.
+  void SendBatch();
+  // Removes the entries of the next transaction from the queues.
   std::vector<Entry> TakeBatch();
-  void Sent(std::vector<Entry> batch, const StateResult& result);
-  void Refused(Entry&& entry, bool in_a_batch);
-  void Read(const std::string& key);
-  void Queue(const std::string& key, Entry&& entry);
+  void OnBatchResult(std::vector<Entry> batch, const StateResult& result);
+  // Called when a transaction with this entry was refused for its size.
+  // Prevents endless retries of a value that is always refused, which would
+  // also block the entries behind it.
+  void OnTooLarge(Entry&& entry, bool in_a_batch);
+  // Reads the current version of an uncertain key, then queues its write again.
+  void ReadVersion(const std::string& key);
+  // Queues a failed write again, unless a newer write of the key is pending.
+  void Requeue(const std::string& key, Entry&& entry);
 
   Context* context_;
   LeaderElection* election_;
   const StateLimitTracker* limits_;
-  std::map<std::string, Entry> waiting_;
-  std::deque<std::string> urgent_, order_;    // keys in `waiting_`
+  std::map<std::string, Entry> pending_;
+  std::deque<std::string> urgent_queue_, normal_queue_;  // keys in `pending_`
   std::map<std::string, uint64_t> versions_;  // absent: the key does not exist
-  std::set<std::string> uncertain_;  // to be read before the next write
-  int in_flight_ = 0;
-  uint64_t generation_ = 0;  // results of an earlier term are ignored
-  static constexpr double kMutationsPerJobEnd =
-      2;  // the live key goes, the final one comes
-  double tokens_ = 0, job_end_tokens_ = 0, refilled_at_ = 0, next_send_ = 0;
+  // Keys whose last write may or may not have been committed. Their version is
+  // read before the next write.
+  std::set<std::string> uncertain_keys_;
+  int batches_in_flight_ = 0;
+  // Raised by Clear(): results of requests sent before are ignored.
+  uint64_t generation_ = 0;
+  // One removes the live key, the other writes the final key.
+  static constexpr double kMutationsPerJobEnd = 2;
+  // Token buckets, in mutations: one for any write, one reserved for job ends.
+  double tokens_ = 0, job_end_tokens_ = 0;
+  double refilled_at_ = 0;   // steady clock, s
+  double next_send_at_ = 0;  // no batch is sent before (steady clock, s)
 };
 
 }  // namespace sorrelwood
--- a/src/core/workers/command_selector.cc
+++ b/src/core/workers/command_selector.cc
@@ -65,7 +65,7 @@
     const Heartbeat& heartbeat) const {
   std::vector<Command> stops;
   for (const TaskStatus& task : heartbeat.tasks)
-    if (task.state != TaskState::kExited && !job_cache_->FindLive(task.job))
+    if (task.state != TaskState::kExited && !job_cache_->FindLiveJob(task.job))
       stops.push_back(
           {CommandKind::kStop, task.job, task.task, task.attempt, 0});
   return stops;
--- a/src/core/workers/machine_recorder.cc
+++ b/src/core/workers/machine_recorder.cc
@@ -16,7 +16,7 @@
     recorded->lifecycle.recorded = true;
     autoscaler_->OnMachineRecorded(name);
   };
-  writer_->Put(keys::Machine(machine->name),
+  writer_->Put(keys::ForMachine(machine->name),
                protocol::EncodeMachineRecord(record),
                {on_written, /*too_large=*/nullptr, /*urgent=*/true});
 }
--- a/src/server/controller_server.cc
+++ b/src/server/controller_server.cc
@@ -130,7 +130,7 @@
     if (time.steady >= next_tick) {
       next_tick = time.steady + kTickIntervalS;
       Dispatch(controller_.Tick(time));
-      routes_.set_healthy(controller_.Healthy());
+      routes_.set_healthy(controller_.IsHealthy());
     }
     if (time.steady >= next_metrics) {
       next_metrics = time.steady + kMetricsIntervalS;
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -50,23 +50,23 @@
 
 void Metrics::PublishWork(const SchedulerStatistics& statistics) {
   Set("jobs", statistics.jobs);
-  Set("tasks_pending", statistics.pending);
-  Set("tasks_placed", statistics.placed);
+  Set("tasks_pending", statistics.pending_tasks);
+  Set("tasks_placed", statistics.placed_tasks);
   Set("speculative_kills", statistics.speculative_kills);
 }
 
 void Metrics::PublishMachines(const SchedulerStatistics& statistics) {
   Set("machines", statistics.machines);
-  Set("machines_base", statistics.base_machines);
-  Set("machines_unaccounted", statistics.unreconciled);
-  Set("base_target_cpus", statistics.base_target_cpus);
-  Set("rented_to_the_end", statistics.rented_to_end);
+  Set("machines_base", statistics.baseline_machines);
+  Set("machines_unaccounted", statistics.unreconciled_machines);
+  Set("base_target_cpus", statistics.baseline_target_cpus);
+  Set("rented_to_the_end", statistics.kept_on_rented_machines);
 }
 
 void Metrics::PublishPredictor(const SchedulerStatistics& statistics) {
   Set("predictor_samples", statistics.predictor_samples);
   Set("predictor_error_seconds", statistics.predictor_error_s);
-  Set("predictor_matthews", statistics.predictor_matthews);
+  Set("predictor_matthews", statistics.predictor_matthews_correlation);
 }
 
 void Metrics::PublishReplicas(const SchedulerStatistics& statistics) {
@@ -77,16 +77,16 @@
 }
 
 void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
-  Set("spread_imbalance", statistics.spread.imbalance);
-  Set("moves_under_way", statistics.spread.under_way);
-  Set("moves_begun", statistics.spread.begun);
-  Set("moves_finished", statistics.spread.finished);
+  Set("spread_imbalance", statistics.rebalancing.imbalance);
+  Set("moves_under_way", statistics.rebalancing.under_way);
+  Set("moves_begun", statistics.rebalancing.begun);
+  Set("moves_finished", statistics.rebalancing.finished);
   for (const MoveFailure failure :
        {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kPlaceLost,
         MoveFailure::kNotNow}) {
-    const auto count = statistics.spread.given_up.find(failure);
+    const auto count = statistics.rebalancing.given_up.find(failure);
     gauges_.Add({{"of", "moves_given_up"}, {"why", ToString(failure)}})
-        .Set(count == statistics.spread.given_up.end()
+        .Set(count == statistics.rebalancing.given_up.end()
                  ? 0
                  : static_cast<double>(count->second));
   }
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -223,7 +223,7 @@
   EXPECT_TRUE(
       leader.OnHeartbeat("n-9", 3, 40, kOldToken, tasks).commands.empty());
   leader.Run(1);
-  EXPECT_FALSE(leader.HasKey(keys::Machine("n-9")));
+  EXPECT_FALSE(leader.HasKey(keys::ForMachine("n-9")));
   // The task is on another machine: it must neither be stopped there nor seem
   // to be on two.
   Healthy real{"n-1"};
@@ -325,7 +325,7 @@
     Round(broken);
   }
   EXPECT_EQ(Released(), 0);
-  EXPECT_TRUE(leader_.HasKey(keys::Final("job-100000")));
+  EXPECT_TRUE(leader_.HasKey(keys::ForFinalState("job-100000")));
   for (int i = 1; i < 6; ++i) {
     const std::string id = "job-00000" + std::to_string(i);
     EXPECT_GT(failures_[id], before[id]) << id;      // tried again
@@ -577,7 +577,7 @@
   machine.tasks[0].reason = ExitReason::kDone;
   EXPECT_EQ(ObeyFor(&leader, &machine, "job-1", 3), 2u);
   for (const TaskStatus& task : machine.tasks) EXPECT_NE(task.attempt, attempt);
-  EXPECT_FALSE(leader.HasKey(keys::Final("job-1")));
+  EXPECT_FALSE(leader.HasKey(keys::ForFinalState("job-1")));
 }
 
 // One whose replicas end as soon as they start is tried at a falling rate.
@@ -608,14 +608,14 @@
   const StateLimitTracker limits(settings);
   StateWriter writer(&context, &election, &limits);
   for (int i = 0; i < 100; ++i)
-    writer.Put(keys::Progress("job-" + std::to_string(i), 0), "{}");
-  writer.Put(keys::Machine("n-1"), "{}", {nullptr, nullptr, /*urgent=*/true});
+    writer.Put(keys::ForCompletions("job-" + std::to_string(i), 0), "{}");
+  writer.Put(keys::ForMachine("n-1"), "{}", {nullptr, nullptr, /*urgent=*/true});
   context.now = 10;
   writer.Tick();
   ASSERT_FALSE(context.out.empty());
   const auto* sent = std::get_if<StateTransaction>(&context.out.front());
   ASSERT_NE(sent, nullptr);
-  EXPECT_EQ(sent->mutations.front().key, keys::Machine("n-1"));
+  EXPECT_EQ(sent->mutations.front().key, keys::ForMachine("n-1"));
 }
 
 // A team whose jobs fill the front of the queue, and fit nowhere now, does not
@@ -886,7 +886,7 @@
   for (int tick = 0; tick < 250; ++tick) {
     context.now = 100 + 0.04 * tick;
     for (int i = 0; i < 100; ++i)
-      writer.Put(keys::Progress("job-" + std::to_string(i), 0), "{}");
+      writer.Put(keys::ForCompletions("job-" + std::to_string(i), 0), "{}");
     writer.Tick();
     for (; writer.MayCommitJobEnd(); ++ends)
       writer.CommitJobEnd({}, {{true, "a", "", 0}, {true, "b", "", 0}},
--- a/tests/load_spread_test.cc
+++ b/tests/load_spread_test.cc
@@ -175,7 +175,7 @@
     ASSERT_GT(Moves().begun, 0u);
   }
   Rebalancer::Statistics Moves() {
-    return leader_.CollectStatistics().scheduler.spread;
+    return leader_.CollectStatistics().scheduler.rebalancing;
   }
   uint64_t GivenUp(MoveFailure failure) {
     const auto given_up = Moves().given_up;
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -49,7 +49,7 @@
 
   void AddMachineRecord(const std::string& name) {
     MachineRecord record{name, "big", "a", name + ":1", false};
-    keys_[keys::Machine(name)] = {protocol::EncodeMachineRecord(record),
+    keys_[keys::ForMachine(name)] = {protocol::EncodeMachineRecord(record),
                                   ++revision_};
   }
   // An earlier leader knows it when it is there before the election.
@@ -72,16 +72,16 @@
       job.spec.save_s = 1;
     }
     job.submitted_wall_s = 1e6 + now_;
-    keys_[keys::Live(id)] = {protocol::EncodeLiveJob(job), ++revision_};
-    news_.push_back({keys::Live(id), keys_[keys::Live(id)].first, revision_});
+    keys_[keys::ForLiveJob(id)] = {protocol::EncodeLiveJob(job), ++revision_};
+    news_.push_back({keys::ForLiveJob(id), keys_[keys::ForLiveJob(id)].first, revision_});
   }
 
   // Any job, as its user would have submitted it now.
   void Add(LiveJob job) {
     const std::string id = job.spec.id;
     job.submitted_wall_s = 1e6 + now_;
-    keys_[keys::Live(id)] = {protocol::EncodeLiveJob(job), ++revision_};
-    news_.push_back({keys::Live(id), keys_[keys::Live(id)].first, revision_});
+    keys_[keys::ForLiveJob(id)] = {protocol::EncodeLiveJob(job), ++revision_};
+    news_.push_back({keys::ForLiveJob(id), keys_[keys::ForLiveJob(id)].first, revision_});
   }
 
   // A service whose replicas take `cpus` each.
@@ -97,14 +97,14 @@
     job.spec.cpus = cpus;
     job.spec.memory_gb = 1;
     job.submitted_wall_s = 1e6 + now_;
-    keys_[keys::Live(id)] = {protocol::EncodeLiveJob(job), ++revision_};
-    news_.push_back({keys::Live(id), keys_[keys::Live(id)].first, revision_});
+    keys_[keys::ForLiveJob(id)] = {protocol::EncodeLiveJob(job), ++revision_};
+    news_.push_back({keys::ForLiveJob(id), keys_[keys::ForLiveJob(id)].first, revision_});
   }
 
   void Run(double seconds) {
     for (const double until = now_ + seconds; now_ < until; now_ += 0.1) {
       Handle(controller_->Tick(Time()));
-      most_work_ = std::max(most_work_, controller_->work());
+      most_work_ = std::max(most_work_, controller_->items_examined());
     }
   }
 
@@ -126,7 +126,7 @@
     heartbeat.tasks = std::move(tasks);
     answer_ = HeartbeatResponse();
     Handle(controller_->OnHeartbeat(Time(), ++request_, heartbeat));
-    most_work_ = std::max(most_work_, controller_->work());
+    most_work_ = std::max(most_work_, controller_->items_examined());
     return answer_;
   }
 
@@ -178,11 +178,11 @@
   bool lease_refused = false, watch_unanswered = false,
        records_unanswered = false;
   void Cancel(const std::string& id) {
-    keys_.erase(keys::Live(id));
-    keys_[keys::Final(id)] = {
+    keys_.erase(keys::ForLiveJob(id));
+    keys_[keys::ForFinalState(id)] = {
         protocol::EncodeFinalState(FinalState::kCancelled), ++revision_};
-    news_.push_back({keys::Live(id), "", revision_});
-    news_.push_back({keys::Final(id), keys_[keys::Final(id)].first, revision_});
+    news_.push_back({keys::ForLiveJob(id), "", revision_});
+    news_.push_back({keys::ForFinalState(id), keys_[keys::ForFinalState(id)].first, revision_});
   }
   void Repeat(const JobSpec& spec) {
     user_answer_ = ClientResponse{0, 0, "", 0};
@@ -288,7 +288,7 @@
     Give(result);
   }
   void Serve(const StateList& list) {
-    if (records_unanswered && list.prefix != keys::kLive) return;
+    if (records_unanswered && list.prefix != keys::kLivePrefix) return;
     StateResult result = Ok(list.id);
     for (const auto& [key, entry] : keys_)
       if (key.compare(0, list.prefix.size(), list.prefix) == 0)
--- a/tests/simulation/controllers.cc
+++ b/tests/simulation/controllers.cc
@@ -96,7 +96,7 @@
   const double took_s = ThreadProcessorTimeS() - began_s;
   SimulationStatistics& statistics = cluster_.statistics();
   statistics.max_work_per_input =
-      std::max(statistics.max_work_per_input, process.controller->work());
+      std::max(statistics.max_work_per_input, process.controller->items_examined());
   if (process.controller->leading()) {
     statistics.leader_cost.total_s += took_s;
     statistics.leader_cost.max_s =
@@ -124,10 +124,10 @@
 void SimulatedControllers::RecordStatistics(int index) {
   Controller& controller = *processes_[index].controller;
   SimulationStatistics& statistics = cluster_.statistics();
-  if (!controller.Healthy()) ++statistics.unhealthy_ticks;
+  if (!controller.IsHealthy()) ++statistics.unhealthy_ticks;
   const Controller::Statistics measured = controller.CollectStatistics();
   if (!measured.leading) return;
-  statistics.AddRebalancing(cluster_.now(), measured.scheduler.spread,
+  statistics.AddRebalancing(cluster_.now(), measured.scheduler.rebalancing,
                             cluster_.options().policy.spread.stop_imbalance);
   if (!terms_seen_.insert(measured.term).second) return;
   ++statistics.takeovers;
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -33,26 +33,26 @@
   StateLimitTracker limits(FallingLimits(2, 5));
   EXPECT_EQ(limits.max_mutations(), 5);
   EXPECT_EQ(limits.max_preconditions(), 20u);
-  EXPECT_EQ(limits.value_bytes(), 8192u);
-  EXPECT_DOUBLE_EQ(limits.changes_per_s(), 60);
-  limits.Learn(Refusal(StateRefusal::kNone));
-  EXPECT_EQ(limits.value_bytes(), 8192u);
-  limits.Learn(Refusal(StateRefusal::kTooLarge));
-  EXPECT_EQ(limits.value_bytes(), 2048u);
-  EXPECT_DOUBLE_EQ(limits.changes_per_s(), 60);
-  limits.Learn(Refusal(StateRefusal::kTooManyChanges));
-  EXPECT_DOUBLE_EQ(limits.changes_per_s(), 42);
-  limits.Learn(StateResult());
-  EXPECT_EQ(limits.value_bytes(), 2048u);
+  EXPECT_EQ(limits.max_value_bytes(), 8192u);
+  EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 60);
+  limits.ObserveResult(Refusal(StateRefusal::kNone));
+  EXPECT_EQ(limits.max_value_bytes(), 8192u);
+  limits.ObserveResult(Refusal(StateRefusal::kTooLarge));
+  EXPECT_EQ(limits.max_value_bytes(), 2048u);
+  EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 60);
+  limits.ObserveResult(Refusal(StateRefusal::kTooManyChanges));
+  EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 42);
+  limits.ObserveResult(StateResult());
+  EXPECT_EQ(limits.max_value_bytes(), 2048u);
 }
 
 TEST(StateLimits, WithoutAnnouncementStayAsTheyAre) {
   StateLimitTracker limits{ClusterSettings()};
-  limits.Learn(Refusal(StateRefusal::kTooLarge));
-  limits.Learn(Refusal(StateRefusal::kTooManyChanges));
+  limits.ObserveResult(Refusal(StateRefusal::kTooLarge));
+  limits.ObserveResult(Refusal(StateRefusal::kTooManyChanges));
   EXPECT_EQ(limits.max_mutations(), 16);
-  EXPECT_EQ(limits.value_bytes(), 8192u);
-  EXPECT_DOUBLE_EQ(limits.changes_per_s(), 60);
+  EXPECT_EQ(limits.max_value_bytes(), 8192u);
+  EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 60);
 }
 
 // A state service with limits, and a leader's writer in front of it.
@@ -112,7 +112,7 @@
     } else {
       ++refused_;
     }
-    limits_.Learn(result);
+    limits_.ObserveResult(result);
     context_.Deliver(result);
   }
 
@@ -266,7 +266,7 @@
         } else if (const auto* get = std::get_if<StateGet>(&action)) {
           result.id = get->id;
           result.outcome = Outcome::kConflict;
-          if (known && get->key == keys::Live(spec.id)) {
+          if (known && get->key == keys::ForLiveJob(spec.id)) {
             LiveJob job;
             job.spec = spec;
             result.outcome = Outcome::kOk;
@@ -275,7 +275,7 @@
         } else {
           continue;
         }
-        limits_.Learn(result);
+        limits_.ObserveResult(result);
         context_.Deliver(result);
       }
     }
