--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -37,7 +37,7 @@
 
 void JobApi::Submit(uint64_t request, const JobSpec& spec) {
   if (!pending_.Admit(request, RequestKind::kMutation)) return;
-  if (job_cache_->FindFinal(spec.id)) {
+  if (job_cache_->FindFinalState(spec.id)) {
     responses_.AnswerFromCache(request, spec.id);
     return;
   }
@@ -60,15 +60,16 @@
                               std::shared_ptr<const LiveJob> job) {
   const std::string id = job->spec.id;
   std::string record = protocol::EncodeLiveJob(*job);
-  if (record.size() > limits_->value_bytes()) {
+  if (record.size() > limits_->max_value_bytes()) {
     RejectUnlessAlreadyAccepted(request, id, 400, kTooLargeToStore);
     return;
   }
   // The preconditions require that neither record exists, which makes the
   // submission idempotent.
   context_->Transact(
-      StateConnection::kUser, {{keys::Live(id), 0}, {keys::Final(id), 0}},
-      {{false, keys::Live(id), std::move(record), 0}},
+      StateConnection::kUser,
+      {{keys::ForLiveJob(id), 0}, {keys::ForFinalState(id), 0}},
+      {{false, keys::ForLiveJob(id), std::move(record), 0}},
       [this, request, job = std::move(job)](const StateResult& result) {
         OnSubmissionRecorded(request, job, result);
       });
@@ -135,14 +136,14 @@
     responses_.AnswerUnknownJob(request);
     return false;
   }
-  if (!job_cache_->FindFinal(id)) return true;
+  if (!job_cache_->FindFinalState(id)) return true;
   responses_.AnswerFromCache(request, id);
   return false;
 }
 
 void JobApi::Poll(uint64_t request, const std::string& id) {
   if (!AdmitOrAnswerLocally(request, RequestKind::kPoll, id)) return;
-  if (job_cache_->FindLive(id)) {
+  if (job_cache_->FindLiveJob(id)) {
     quorum_reads_.AddPoll(request, id);
     return;
   }
@@ -156,7 +157,7 @@
                  if (location == JobLocation::kUnavailable)
                    pending_.AnswerStateUnavailable(request);
                  else if (location == JobLocation::kNotFound &&
-                          !job_cache_->FindLive(id))
+                          !job_cache_->FindLiveJob(id))
                    responses_.AnswerUnknownJob(request);
                  else  // found, or accepted while the lookup was in flight
                    responses_.AnswerFromCache(request, id);
@@ -165,7 +166,7 @@
 
 void JobApi::Cancel(uint64_t request, const std::string& id) {
   if (!AdmitOrAnswerLocally(request, RequestKind::kMutation, id)) return;
-  if (job_cache_->FindLive(id)) {
+  if (job_cache_->FindLiveJob(id)) {
     CancelLiveJob(request, id);
     return;
   }
@@ -175,7 +176,7 @@
                    case JobLocation::kLive:
                      // The job may have ended since the lookup; the cache then
                      // no longer lists it as live.
-                     if (job_cache_->FindLive(id)) {
+                     if (job_cache_->FindLiveJob(id)) {
                        CancelLiveJob(request, id);
                        return;
                      }
@@ -196,11 +197,11 @@
 // The cancellation is committed before it is reported. The precondition
 // prevents a job that completes concurrently from being reported as cancelled.
 void JobApi::CancelLiveJob(uint64_t request, const std::string& id) {
-  const uint64_t version = job_cache_->FindLive(id)->version;
+  const uint64_t version = job_cache_->FindLiveJob(id)->version;
   context_->Transact(
-      StateConnection::kUser, {{keys::Live(id), version}},
-      {{true, keys::Live(id), "", 0},
-       {false, keys::Final(id),
+      StateConnection::kUser, {{keys::ForLiveJob(id), version}},
+      {{true, keys::ForLiveJob(id), "", 0},
+       {false, keys::ForFinalState(id),
         protocol::EncodeFinalState(FinalState::kCancelled), 0}},
       [this, request, id](const StateResult& result) {
         if (result.outcome == Outcome::kOk) {
--- a/src/core/api/job_lookup.cc
+++ b/src/core/api/job_lookup.cc
@@ -9,7 +9,7 @@
 
 void JobLookup::Find(StateConnection connection, const std::string& id,
                      Callback on_located) {
-  context_->Get(connection, keys::Live(id),
+  context_->Get(connection, keys::ForLiveJob(id),
                 [this, connection, id, on_located = std::move(on_located)](
                     const StateResult& result) {
                   if (result.outcome == Outcome::kOk && !result.items.empty()) {
@@ -26,7 +26,7 @@
 
 void JobLookup::FindFinal(StateConnection connection, const std::string& id,
                           Callback on_located) {
-  context_->Get(connection, keys::Final(id),
+  context_->Get(connection, keys::ForFinalState(id),
                 [this, id, on_located = std::move(on_located)](
                     const StateResult& result) {
                   if (result.outcome == Outcome::kConflict) {
--- a/src/core/api/job_responses.cc
+++ b/src/core/api/job_responses.cc
@@ -10,14 +10,14 @@
 using protocol::JobStatus;
 
 void JobResponses::AnswerFromCache(uint64_t request, const std::string& id) {
-  if (const auto final_state = job_cache_->FindFinal(id)) {
+  if (const auto final_state = job_cache_->FindFinalState(id)) {
     const JobStatus status = *final_state == FinalState::kDone
                                  ? JobStatus::kDone
                                  : JobStatus::kCancelled;
     pending_->Answer(request, 200, EncodeJobStatus(id, status));
     return;
   }
-  const CachedJob* cached_job = job_cache_->FindLive(id);
+  const CachedJob* cached_job = job_cache_->FindLiveJob(id);
   JobCounts counts = cached_job ? cached_job->counts : JobCounts();
   counts.id = id;
   const JobStatus status =
--- a/src/core/api/quorum_reads.cc
+++ b/src/core/api/quorum_reads.cc
@@ -41,7 +41,7 @@
   std::set<std::string> included_job_ids;
   std::vector<PendingPoll> deferred;
   for (PendingPoll& poll : pending_polls_) {
-    const CachedJob* cached_job = job_cache_->FindLive(poll.id);
+    const CachedJob* cached_job = job_cache_->FindLiveJob(poll.id);
     if (!cached_job) {  // ended since the poll arrived; an end is final
       responses_->AnswerFromCache(poll.request, poll.id);
       continue;
@@ -52,7 +52,8 @@
         continue;
       }
       included_job_ids.insert(poll.id);
-      batch.preconditions.push_back({keys::Live(poll.id), cached_job->version});
+      batch.preconditions.push_back(
+          {keys::ForLiveJob(poll.id), cached_job->version});
     }
     batch.polls.push_back(std::move(poll));
   }
@@ -85,7 +86,7 @@
   for (const PendingPoll& poll : polls) {
     const bool is_still_live = result.outcome == Outcome::kOk ||
                                (has_conflict && !failed_keys.empty() &&
-                                !failed_keys.count(keys::Live(poll.id)));
+                                !failed_keys.count(keys::ForLiveJob(poll.id)));
     if (is_still_live)
       responses_->AnswerFromCache(poll.request, poll.id);
     else if (has_conflict)
--- a/src/core/workers/command_selector.cc
+++ b/src/core/workers/command_selector.cc
@@ -69,7 +69,7 @@
     const Heartbeat& heartbeat) const {
   std::vector<Command> stop_commands;
   for (const TaskStatus& task : heartbeat.tasks)
-    if (task.state != TaskState::kExited && !job_cache_->FindLive(task.job))
+    if (task.state != TaskState::kExited && !job_cache_->FindLiveJob(task.job))
       stop_commands.push_back(
           {CommandKind::kStop, task.job, task.task, task.attempt, 0});
   return stop_commands;
