--- a/src/core/autoscaling/demand_estimator.cc
+++ b/src/core/autoscaling/demand_estimator.cc
@@ -21,8 +21,9 @@
       context_->now < job.failures.retry_at)
     return 0;
   double& unused = (*unused_quota)[job.spec().team];
-  double tasks = job.RunnableTasks(context_->now) -
-                 static_cast<double>(job.speculation.waiting_since.size());
+  double tasks =
+      job.CountRunnableTasks(context_->now) -
+      static_cast<double>(job.speculation.waiting_for_owned_since.size());
   if (job.spec().cpus > 0)
     tasks = std::min(tasks, std::floor(unused / job.spec().cpus +
                                        kResourceRoundingTolerance));
@@ -42,7 +43,8 @@
 
 double DemandEstimator::CpuSeconds(const JobSpec& spec, const MachineType& type,
                                    double window_s) const {
-  return CpuEquivalent(spec, type) * std::min(jobs_->Estimate(spec), window_s);
+  return CpuEquivalent(spec, type) *
+         std::min(jobs_->EstimateRunTime(spec), window_s);
 }
 
 bool DemandEstimator::CanRunOn(const Job& job, const MachineType& type,
--- a/src/core/autoscaling/expected_capacity.cc
+++ b/src/core/autoscaling/expected_capacity.cc
@@ -20,7 +20,7 @@
                                         double window_s) const {
   const double ran_s =
       attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
-  const double left_s = jobs_->Estimate(job.spec()) - ran_s;
+  const double left_s = jobs_->EstimateRunTime(job.spec()) - ran_s;
   return DemandEstimator::CpuEquivalent(job.spec(), type) *
          std::clamp(left_s, kMinEstimateS, window_s);
 }
--- a/src/core/autoscaling/headroom_planner.cc
+++ b/src/core/autoscaling/headroom_planner.cc
@@ -48,7 +48,7 @@
 }
 
 std::vector<Headroom> HeadroomPlanner::Needs() const {
-  std::vector<Headroom> needs = placement_->headroom().Needs();
+  std::vector<Headroom> needs = placement_->headroom().ForecastNeeds();
   const MachineType* type = CheapestType();
   if (!type || !AwaitsUnseenClass()) return needs;
   // Its jobs may be of any size: each slot is a whole machine.
--- a/src/core/autoscaling/premium_scale_out.cc
+++ b/src/core/autoscaling/premium_scale_out.cc
@@ -32,8 +32,8 @@
 }
 
 double PremiumScaleOut::TimeAllowedS(const Job& job, double boot_s) const {
-  const double slack_s =
-      jobs_->Slack(job, settings_->objectives, context_->wall, window_s_);
+  const double slack_s = jobs_->ComputeSlack(job, settings_->objectives,
+                                             context_->wall, window_s_);
   // A deadline that is past, or that comes before a new machine could be up and
   // do the work, is no reason to pay more.
   return slack_s < kPremiumMinBootTimes * boot_s ? window_s_ : slack_s;
@@ -57,7 +57,7 @@
     const double time_s = TimeAllowedS(*job, boot_s);
     const double tasks = job->progress.pending.size();
     const double task_cpu_seconds =
-        std::min(jobs_->Estimate(spec), time_s) * spec.cpus;
+        std::min(jobs_->EstimateRunTime(spec), time_s) * spec.cpus;
     double& team_used = team_cpu_seconds[spec.team];
     const double work =
         std::min(tasks * task_cpu_seconds,
--- a/src/core/balance/load_bounds.cc
+++ b/src/core/balance/load_bounds.cc
@@ -8,7 +8,7 @@
 
 double LoadBounds::PendingCpus(const Job& job, double now, double* left_cpus) {
   if (job.progress.pending.empty() || job.finishing) return 0;
-  const double wanted = job.RunnableTasks(now) * job.spec().cpus;
+  const double wanted = job.CountRunnableTasks(now) * job.spec().cpus;
   const double granted = std::clamp(wanted, 0.0, std::max(0.0, *left_cpus));
   *left_cpus -= granted;
   return granted;
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -139,7 +139,7 @@
   if (!loses_little) return false;
   const Job* job = jobs_->Find(key.job);
   if (!job || job->finishing || job->failing()) return false;
-  if (jobs_->Estimate(spec) - ran_s < kMoveLeastLeftS) return false;
+  if (jobs_->EstimateRunTime(spec) - ran_s < kMoveLeastLeftS) return false;
   const auto moved = moved_at_.find(key);
   return moved == moved_at_.end() ||
          context_->now - moved->second >= spread_.cooldown_s;
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -105,7 +105,7 @@
   autoscaler_.Tick(election_->MayDispatch(), election_->dispatch_deadline());
   CommitResults();
   ApplyPolicies();
-  replicas_.CountTime();
+  replicas_.AccumulateMissingTime();
   rebalancer_.Tick(election_->MayDispatch());
   PreemptForServices();
   job_lifecycle_.RankQueue();
@@ -123,7 +123,7 @@
 void LeaderRole::ApplyPolicies() {
   if (!policy_timer_.Due(context_->now)) return;
   waiting_.Tick();
-  replicas_.LeaveDepartingMachines();
+  replicas_.StopReplicasOnDepartingMachines();
   if (election_->MayDispatch()) placement_.PreemptForGuarantees();
 }
 
--- a/src/core/controller/scheduler_statistics.cc
+++ b/src/core/controller/scheduler_statistics.cc
@@ -14,11 +14,11 @@
     if (machine->role.baseline) ++statistics.base_machines;
   statistics.unreconciled = placement_->admission().unreconciled_machines();
   statistics.base_target_cpus = autoscaler_->baseline_target_cpus();
-  statistics.predictor_error_s = waiting_->predictor().mean_error_s();
-  statistics.predictor_matthews = waiting_->predictor().matthews();
-  statistics.predictor_samples = waiting_->predictor().samples();
-  statistics.speculative_kills = waiting_->killed();
-  statistics.rented_to_end = waiting_->rented();
+  statistics.predictor_error_s = waiting_->predictor().mean_absolute_error_s();
+  statistics.predictor_matthews = waiting_->predictor().matthews_correlation();
+  statistics.predictor_samples = waiting_->predictor().sample_count();
+  statistics.speculative_kills = waiting_->speculative_kills();
+  statistics.rented_to_end = waiting_->rented_to_end();
   statistics.replicas = replicas_->CollectStatistics();
   statistics.spread = rebalancer_->CollectStatistics();
   return statistics;
--- a/src/core/jobs/class_profile.cc
+++ b/src/core/jobs/class_profile.cc
@@ -5,9 +5,9 @@
 namespace sorrelwood {
 
 void ClassProfileTable::Learn(const LiveJob& job) {
-  const auto [it, first] = profiles_.try_emplace(job.spec.job_class);
-  ClassProfile& profile = it->second;
-  const double weight = first ? 1 : kClassProfileLearningRate;
+  const auto [entry, is_first_job] = profiles_.try_emplace(job.spec.job_class);
+  ClassProfile& profile = entry->second;
+  const double weight = is_first_job ? 1 : kClassProfileLearningRate;
   profile.tasks += (job.spec.tasks - profile.tasks) * weight;
   profile.spec = job.spec;
   profile.arrivals.push_back(job.submitted_wall_s);
@@ -16,8 +16,8 @@
 
 const ClassProfile* ClassProfileTable::Find(
     const std::string& job_class) const {
-  const auto it = profiles_.find(job_class);
-  return it == profiles_.end() ? nullptr : &it->second;
+  const auto profile = profiles_.find(job_class);
+  return profile == profiles_.end() ? nullptr : &profile->second;
 }
 
 }  // namespace sorrelwood
--- a/src/core/jobs/class_profile.h
+++ b/src/core/jobs/class_profile.h
@@ -1,4 +1,4 @@
-// What jobs of each class usually ask for, learnt from those that arrived.
+// What a typical job of each class asks for, learnt from the jobs that arrived.
 #pragma once
 
 #include <deque>
@@ -10,18 +10,18 @@
 
 namespace sorrelwood {
 
-// The usual job of a class.
+// The typical job of a class.
 struct ClassProfile {
-  double tasks = 0;             // of a job, smoothed
+  double tasks = 0;             // number of tasks, smoothed over jobs
   JobSpec spec;                 // of the latest job
-  std::deque<double> arrivals;  // wall times of the latest kMaxArrivals jobs
+  std::deque<double> arrivals;  // wall times (s), the latest kMaxArrivals
 };
 
 class ClassProfileTable {
  public:
-  // A job has arrived.
+  // Updates the profile of the job's class when the job has arrived.
   void Learn(const LiveJob& job);
-  // Null until a job of the class has arrived.
+  // Returns null until a job of the class has arrived.
   const ClassProfile* Find(const std::string& job_class) const;
   const std::map<std::string, ClassProfile>& all() const { return profiles_; }
 
--- a/src/core/jobs/job.cc
+++ b/src/core/jobs/job.cc
@@ -7,8 +7,8 @@
 namespace sorrelwood {
 
 bool ReplicaState::InRestartBackoff(uint32_t task, double now) const {
-  const auto it = restarts.find(task);
-  return it != restarts.end() && now < it->second.not_before;
+  const auto restart = restarts.find(task);
+  return restart != restarts.end() && now < restart->second.not_before;
 }
 
 bool Job::succeeded() const {
@@ -16,14 +16,16 @@
 }
 
 bool Job::failing() const {
-  return !succeeded() && failures.machines.size() >= kFailingJobMachines;
+  return !succeeded() &&
+         failures.machines_failed_on.size() >= kFailingJobMachines;
 }
 
 bool Job::broken() const {
-  return !succeeded() && failures.machines.size() >= kBrokenJobMachines;
+  return !succeeded() &&
+         failures.machines_failed_on.size() >= kBrokenJobMachines;
 }
 
-uint32_t Job::RunnableTasks(double now) const {
+uint32_t Job::CountRunnableTasks(double now) const {
   uint32_t count = progress.pending.size();
   for (const auto& [task, restarts] : replicas.restarts)
     if (now < restarts.not_before && progress.pending.Contains(task)) --count;
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -1,6 +1,6 @@
 // The leader's view of one unfinished job: the progress of its tasks, its
-// failures, and what the policies have decided about it. Times are of the
-// steady clock (s) unless they are called wall time.
+// failures, and what the policies have decided about it. Times are seconds of
+// the steady clock unless they are called wall time.
 #pragma once
 
 #include <cstdint>
@@ -17,84 +17,86 @@
 
 namespace sorrelwood {
 
-// Where the tasks of a job stand. Invariant, kept by JobTable: every task is
-// pending, placed (it has an entry in machine_of_task) or done, and never
-// pending together with one of the others; a task that is done stays placed
-// until its machine has let go of it. Tasks are kept as ranges: only placed
-// ones cost an entry each.
+// The state of each task of a job. Invariant, maintained by JobTable: each task
+// is pending, placed (has an entry in machine_of_task) or done. A pending task
+// is neither placed nor done; a done task stays placed until its machine has
+// released it. Sets of tasks are stored as ranges; only placed tasks need an
+// entry each.
 struct TaskProgress {
   IntervalSet pending;
   IntervalSet done;       // completed, as reported by their machines
   IntervalSet committed;  // completed, and recorded in the state service
   std::map<uint32_t, std::string> machine_of_task;
-  std::map<std::string, uint32_t> attempts_in_zone;  // placed tasks; no zeros
+  // Number of placed tasks by zone. Has no entries of 0.
+  std::map<std::string, uint32_t> attempts_in_zone;
 
   bool AnyPlaced() const { return !machine_of_task.empty(); }
 };
 
-// What the waiting policy has decided about the job's tasks, see WaitingPolicy.
+// The decisions of the waiting policy about the job's tasks, see WaitingPolicy.
 struct SpeculationState {
-  // Pending tasks that were killed at the speculation limit and wait for owned
+  // Pending tasks that were stopped at the speculation limit and wait for owned
   // capacity, with the time at which the wait began.
-  std::map<uint32_t, double> waiting_since;
-  // Tasks that run on rented machines to their end.
+  std::map<uint32_t, double> waiting_for_owned_since;
+  // Tasks that may run on rented machines to their end.
   IntervalSet run_on_rented;
-  // How long earlier attempts ran that were stopped to move the task (s): that
-  // time counts towards the speculation limit.
+  // Run time (s) of earlier attempts that were stopped to move the task to
+  // another machine. It counts towards the speculation limit.
   std::map<uint32_t, double> ran_before_move_s;
-  // The state of the cluster at the job's arrival; nothing before the first
-  // tick of the policy.
+  // The state of the cluster at the job's arrival; nothing until the policy's
+  // first tick after it.
   std::optional<FeatureVector> arrival_features;
-  // The job's wait has been learnt by the wait predictor.
+  // The wait predictor has learnt the job's wait.
   bool wait_sampled = false;
 };
 
-// The failures of a job since a task of it last completed.
+// The failures of a job since one of its tasks last completed.
 struct FailureHistory {
-  std::set<std::string> machines;  // that tasks failed on
-  int rounds = 0;                  // tries in a row that failed
-  double retry_at = 0;             // nothing of the job starts before
-  double last_error_at = 0;
-  // Failures of single tasks of a job that succeeds otherwise.
+  std::set<std::string> machines_failed_on;
+  int failed_rounds = 0;     // rounds of tries that failed in a row
+  double retry_at = 0;       // no task of the job starts earlier
+  double last_error_at = 0;  // 0 before the first failure
+  // Failure counts of single tasks of a job whose other tasks succeed.
   std::map<uint32_t, int> task_errors;
 };
 
-// A replica that ended soon after its start, once or several times in a row.
+// Restarts of a replica that ended before it was stable.
 struct ReplicaRestarts {
-  int quick_ends = 0;
-  double not_before = 0;  // it is not started again before
+  int early_ends = 0;     // in a row
+  double not_before = 0;  // earliest time of the next start
 };
 
 // What is known about the replicas of a service; empty for a job array.
 struct ReplicaState {
-  // A replica has run for kReplicaStableS: the job works.
+  // A replica has run for kReplicaStableS, which shows that the job works.
   bool succeeded = false;
-  // A replica ended by itself after having run so long: its end is no fault of
-  // its machine.
+  // A replica ended by itself after running for at least kReplicaStableS; ends
+  // of this job's replicas are no evidence against a machine.
   bool ends_by_itself = false;
   std::map<uint32_t, ReplicaRestarts> restarts;  // by task
 
-  // The replica keeps ending and is not to be started yet.
+  // True if the replica has ended early several times and must not restart yet.
   bool InRestartBackoff(uint32_t task, double now) const;
 };
 
-// What decides the job's place in the queue besides its specification, as of
-// the latest JobTable::Rank. QueueOrder tells how it is used.
+// The values that decide the job's place in the queue besides its
+// specification, as of the latest JobTable::Rank. QueueOrder defines how they
+// are compared.
 struct QueuePosition {
-  bool starving = false;      // nothing of it has run for kStarvationAgeS
-  bool guaranteed = false;    // it lies within its team's guarantee
-  bool late = false;          // it can't meet any of its objectives any more
-  int size_class = 0;         // binary logarithm of its CPU-seconds left
-  double team_backlog_s = 0;  // time that its team's work takes at the limit
+  bool starving = false;          // waited for kStarvationAgeS without a start
+  bool within_guarantee = false;  // fits into its team's guarantee
+  bool late = false;              // can't meet any of its objectives any more
+  int size_class = 0;             // binary logarithm of the CPU-seconds left
+  double team_backlog_s = 0;      // time to run the team's work at its quota
 };
 
 struct Job {
   std::shared_ptr<const LiveJob> record;
   uint64_t version = 0;  // of the record in the state service
-  // It existed before this leader's term: an earlier leader may have placed
-  // tasks of it on machines that have not reported yet.
+  // The job existed before this leader's term: an earlier leader may have
+  // placed some of its tasks on machines that have not reported yet.
   bool from_earlier_term = false;
-  bool finishing = false;  // the transaction that ends it is under way
+  bool finishing = false;  // the transaction that ends it is in flight
   double queued_at = 0;    // when this leader first saw it
 
   TaskProgress progress;
@@ -106,20 +108,23 @@
   const JobSpec& spec() const { return record->spec; }
   const std::string& id() const { return record->spec.id; }
 
-  // A task of it has completed, or a replica has run as it should.
+  // True if a task has completed or a replica has become stable.
   bool succeeded() const;
-  // It has succeeded nowhere and failed on kFailingJobMachines: it is tried one
-  // task at a time and claims no more than that. Prevents a job that fails
-  // everywhere from taking capacity and guarantee from others.
+  // True if the job has not succeeded yet and has failed on at least
+  // kFailingJobMachines machines. One task is then tried at a time, and only
+  // this task counts in demand and guarantees; otherwise a job that fails
+  // everywhere would take capacity from others.
   bool failing() const;
-  // It has succeeded nowhere and failed on kBrokenJobMachines: so many that the
-  // machines are not at fault.
+  // True if the job has not succeeded yet and has failed on at least
+  // kBrokenJobMachines machines, enough to rule out that they are at fault.
   bool broken() const;
-  // The number of pending tasks that may be started now: without replicas in
-  // their restart backoff, and one at most while the job is failing.
-  uint32_t RunnableTasks(double now) const;
-  // Seconds since the submission at the wall time `wall`.
-  double Age(double wall) const { return wall - record->submitted_wall_s; }
+  // Returns how many pending tasks may start now: replicas in restart backoff
+  // are left out, and a failing job has at most one.
+  uint32_t CountRunnableTasks(double now) const;
+  // Returns the seconds from the submission to the wall time `wall_s`.
+  double AgeAt(double wall_s) const {
+    return wall_s - record->submitted_wall_s;
+  }
 };
 
 }  // namespace sorrelwood
--- a/src/core/jobs/job_queue.cc
+++ b/src/core/jobs/job_queue.cc
@@ -7,29 +7,30 @@
 bool QueueOrder::operator()(const Job* a, const Job* b) const {
   const QueuePosition& left = a->queue_position;
   const QueuePosition& right = b->queue_position;
-  // Jobs that have waited too long to begin: no other criterion may starve
-  // them.
+  // Starving jobs first: no other criterion may hold them back any longer.
   if (left.starving != right.starving) return left.starving;
-  // Services: they are few, and every second without a replica counts.
+  // Then services: there are few, and each second without a replica counts.
   if (a->spec().IsService() != b->spec().IsService())
     return a->spec().IsService();
-  // Jobs within their team's guarantee: they need not wait for other teams.
-  if (left.guaranteed != right.guaranteed) return left.guaranteed;
-  // The more urgent priority class.
+  // Jobs within their team's guarantee: they must not wait for other teams.
+  if (left.within_guarantee != right.within_guarantee)
+    return left.within_guarantee;
+  // Jobs of the more urgent priority class.
   if (a->spec().priority != b->spec().priority)
     return a->spec().priority > b->spec().priority;
-  // Jobs that can still meet an objective, before those that can't.
+  // Jobs that can still meet an objective before those that can't.
   if (left.late != right.late) return right.late;
-  // The team whose backlog takes longest at its limit.
+  // Jobs of the team that needs the longest time to run its backlog at its
+  // quota.
   if (left.team_backlog_s != right.team_backlog_s)
     return left.team_backlog_s > right.team_backlog_s;
-  // The smaller job, in powers of two: more jobs are done sooner.
+  // Smaller jobs, in powers of two: more jobs finish early.
   if (left.size_class != right.size_class)
     return left.size_class < right.size_class;
-  // First come, first served.
+  // Earlier submissions.
   if (a->record->submitted_wall_s != b->record->submitted_wall_s)
     return a->record->submitted_wall_s < b->record->submitted_wall_s;
-  // The identifier makes the order the same on every controller.
+  // The id as the last criterion makes the order the same on all controllers.
   return a->id() < b->id();
 }
 
--- a/src/core/jobs/job_queue.h
+++ b/src/core/jobs/job_queue.h
@@ -11,8 +11,7 @@
 namespace sorrelwood {
 
 // Strict weak ordering of jobs: the first criterion in which two jobs differ
-// decides. The criteria stand in this order in the definition, each with its
-// reason.
+// decides. The definition lists the criteria in this order, with their reasons.
 struct QueueOrder {
   bool operator()(const Job* a, const Job* b) const;
 };
@@ -20,17 +19,16 @@
 // Unfinished jobs by id.
 using JobMap = std::map<std::string, std::unique_ptr<Job>>;
 
-// A sorted view of the jobs, built when it is asked for and kept until it is
-// invalidated.
+// A sorted view of the jobs. It is built on request and kept until invalidated.
 class JobQueue {
  public:
-  // Jobs were added, removed or ranked anew.
+  // Must be called after jobs were added, removed or ranked again.
   void Invalidate() { stale_ = true; }
-  // There are no jobs any more: drops the pointers to them.
+  // Drops the pointers to all jobs. Called when the jobs are deleted.
   void Clear();
-  // All jobs in QueueOrder. Valid until the jobs change.
+  // Returns all jobs in QueueOrder. Valid until the jobs change.
   const std::vector<Job*>& Sorted(const JobMap& jobs);
-  // The services among them, in the same order.
+  // Returns the services among the jobs, in the same order.
   const std::vector<Job*>& Services(const JobMap& jobs);
 
  private:
--- a/src/core/jobs/job_table.cc
+++ b/src/core/jobs/job_table.cc
@@ -38,30 +38,31 @@
 
 Job* JobTable::Find(const std::string& id) {
   if (last_found_ && last_found_->id() == id) return last_found_;
-  const auto it = jobs_.find(id);
-  if (it == jobs_.end()) return nullptr;
-  return last_found_ = it->second.get();
+  const auto entry = jobs_.find(id);
+  if (entry == jobs_.end()) return nullptr;
+  return last_found_ = entry->second.get();
 }
 
-void JobTable::Rank(const ClusterSettings& settings, double wall) {
+void JobTable::Rank(const ClusterSettings& settings, double wall_s) {
   std::vector<Job*> by_arrival;
   for (auto& [id, job] : jobs_) by_arrival.push_back(job.get());
   std::sort(by_arrival.begin(), by_arrival.end(),
             [](const Job* a, const Job* b) {
               return a->record->submitted_wall_s < b->record->submitted_wall_s;
             });
-  QueueRanking(settings, run_times_, wall).Rank(by_arrival);
+  QueueRanking(settings, run_times_, wall_s).Rank(by_arrival);
   queue_.Invalidate();
 }
 
-double JobTable::Slack(const Job& job, const std::vector<Objective>& objectives,
-                       double wall, double without_objective_s) const {
-  return ObjectiveSlack(job, objectives, Estimate(job.spec()), wall,
-                        without_objective_s);
+double JobTable::ComputeSlack(const Job& job,
+                              const std::vector<Objective>& objectives,
+                              double wall_s, double without_objective_s) const {
+  return ComputeObjectiveSlack(job, objectives, EstimateRunTime(job.spec()),
+                               wall_s, without_objective_s);
 }
 
-void JobTable::Place(Job* job, uint32_t task, const std::string& machine,
-                     const std::string& zone) {
+void JobTable::MarkPlaced(Job* job, uint32_t task, const std::string& machine,
+                          const std::string& zone) {
   const JobSpec& spec = job->spec();
   job->progress.pending.Remove(task);
   job->progress.machine_of_task[task] = machine;
@@ -69,7 +70,7 @@
   usage_.Add(spec.team, spec.cpus, spec.gpus);
 }
 
-void JobTable::Unplace(Job* job, uint32_t task, const std::string& zone) {
+void JobTable::MarkUnplaced(Job* job, uint32_t task, const std::string& zone) {
   const JobSpec& spec = job->spec();
   TaskProgress& progress = job->progress;
   if (progress.machine_of_task.erase(task) == 0) return;
@@ -81,7 +82,7 @@
 
 void JobTable::MarkDone(Job* job, uint32_t task) {
   job->progress.pending.Remove(task);
-  job->speculation.waiting_since.erase(task);
+  job->speculation.waiting_for_owned_since.erase(task);
   job->speculation.ran_before_move_s.erase(task);
   if (!job->progress.done.Contains(task)) job->progress.done.Add(task);
 }
--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -1,5 +1,6 @@
-// The leader's table of unfinished jobs, with what depends on all of them: the
-// queue, the teams' usage, run time estimates and the profiles of job classes.
+// The leader's table of unfinished jobs, with the data derived from all of
+// them: the queue, the usage of teams, run time estimates and profiles of job
+// classes.
 #pragma once
 
 #include <map>
@@ -18,47 +19,49 @@
 
 class JobTable {
  public:
-  // Adds a job with all of its tasks pending; a job that is known already is
-  // returned as it is. `version` is the record's in the state service.
+  // Adds a job with all its tasks pending and returns it; returns a known job
+  // unchanged. `version` is the record's version in the state service.
   Job* Add(std::shared_ptr<const LiveJob> record, uint64_t version,
            bool from_earlier_term, double now);
-  // Pointers to the job become invalid.
+  // Invalidates pointers to the job.
   void Remove(const std::string& id);
-  // Forgets all jobs and usage, but not what was learnt about job classes.
+  // Removes all jobs and usage; keeps what was learnt about job classes.
   void Clear();
-  // Null: no unfinished job has this id.
+  // Returns null if no unfinished job has this id.
   Job* Find(const std::string& id);
   JobMap& all() { return jobs_; }
 
-  // All jobs in QueueOrder, as of the latest Rank.
+  // Returns all jobs in QueueOrder, as of the latest Rank.
   const std::vector<Job*>& queue() { return queue_.Sorted(jobs_); }
-  // The services of the queue, in its order.
+  // Returns the services in the order of the queue.
   const std::vector<Job*>& services() { return queue_.Services(jobs_); }
-  // Computes all queue positions anew. `wall` is the wall time.
-  void Rank(const ClusterSettings& settings, double wall);
-  // ObjectiveSlack with the estimate of the job's run time (s).
-  double Slack(const Job& job, const std::vector<Objective>& objectives,
-               double wall, double without_objective_s) const;
+  // Recomputes the queue positions of all jobs at the wall time `wall_s`.
+  void Rank(const ClusterSettings& settings, double wall_s);
+  // Returns ComputeObjectiveSlack (s) with the estimated run time of the job.
+  double ComputeSlack(const Job& job, const std::vector<Objective>& objectives,
+                      double wall_s, double without_objective_s) const;
 
-  // The task leaves the pending set for the machine; the team's usage grows.
-  void Place(Job* job, uint32_t task, const std::string& machine,
-             const std::string& zone);
-  // The task is off its machine and pending again, unless it is done. Does
-  // nothing for a task that is not placed.
-  void Unplace(Job* job, uint32_t task, const std::string& zone);
-  // The task has completed. It stays placed until Unplace.
+  // Moves the task from pending to placed on the machine and adds it to the
+  // usage of its team.
+  void MarkPlaced(Job* job, uint32_t task, const std::string& machine,
+                  const std::string& zone);
+  // Reverses MarkPlaced after the task has left its machine; the task becomes
+  // pending unless it is done. Does nothing for a task that is not placed.
+  void MarkUnplaced(Job* job, uint32_t task, const std::string& zone);
+  // Marks the task as completed. It stays placed until MarkUnplaced.
   void MarkDone(Job* job, uint32_t task);
 
-  // The expected run time of a task of the job (s).
-  double Estimate(const JobSpec& spec) const {
+  // Returns the expected run time of a task (s).
+  double EstimateRunTime(const JobSpec& spec) const {
     return run_times_.Estimate(spec);
   }
-  // A task of the job completed after `ran_s` seconds without interruption.
+  // Learns from a task that completed after running for `ran_s` without
+  // interruption.
   void LearnRunTime(const JobSpec& spec, double ran_s) {
     run_times_.Learn(spec, ran_s);
   }
 
-  // Null until a job of the class has arrived.
+  // Returns null until a job of the class has arrived.
   const ClassProfile* ProfileOf(const std::string& job_class) const {
     return profiles_.Find(job_class);
   }
@@ -66,17 +69,19 @@
     return profiles_.all();
   }
 
-  // What the team's placed tasks use.
-  TeamUsage UsageOf(const std::string& team) const { return usage_.Of(team); }
-  // Usage of tasks whose job has ended but that may still be on a machine;
-  // negative amounts give it back.
+  // Returns the usage of the team's placed tasks.
+  TeamUsage UsageOf(const std::string& team) const {
+    return usage_.UsageOf(team);
+  }
+  // Adds usage of tasks that may still run on a machine although their job has
+  // ended; negative amounts remove it again.
   void AddOrphanedUsage(const std::string& team, double cpus, double gpus) {
     usage_.Add(team, cpus, gpus);
   }
 
  private:
   JobMap jobs_;
-  Job* last_found_ = nullptr;  // a machine's tasks are mostly of few jobs
+  Job* last_found_ = nullptr;  // cache; a machine runs tasks of few jobs
   JobQueue queue_;
   TeamUsageTable usage_;
   RunTimeEstimator run_times_;
--- a/src/core/jobs/objective_slack.cc
+++ b/src/core/jobs/objective_slack.cc
@@ -5,55 +5,58 @@
 namespace sorrelwood {
 namespace {
 
-// Earlier than any objective can have been missed (s).
-constexpr double kLongAgoS = -1e9;
+// Slack (s) below that of any missed objective.
+constexpr double kLeastSlackS = -1e9;
 
-// The least slack of the objectives that can be met, and the latest of those
-// that are missed.
+// Combines the slack of several objectives: the least slack of the attainable
+// objectives counts or, if there are none, the slack of the latest missed one.
 class SlackOfObjectives {
  public:
-  explicit SlackOfObjectives(double most) : next_s_(most) {}
+  explicit SlackOfObjectives(double max_slack_s)
+      : least_attainable_s_(max_slack_s) {}
 
   void Add(double slack_s) {
-    any_ = true;
+    has_objective_ = true;
     if (slack_s < 0) {
-      missed_s_ = std::max(missed_s_, slack_s);
+      latest_missed_s_ = std::max(latest_missed_s_, slack_s);
     } else {
-      next_s_ = std::min(next_s_, slack_s);
-      any_can_be_met_ = true;
+      least_attainable_s_ = std::min(least_attainable_s_, slack_s);
+      has_attainable_ = true;
     }
   }
-  double Result() const {
-    return any_ && !any_can_be_met_ ? missed_s_ : next_s_;
+  double slack_s() const {
+    return has_objective_ && !has_attainable_ ? latest_missed_s_
+                                              : least_attainable_s_;
   }
 
  private:
-  double next_s_;
-  double missed_s_ = kLongAgoS;
-  bool any_ = false, any_can_be_met_ = false;
+  double least_attainable_s_;
+  double latest_missed_s_ = kLeastSlackS;
+  bool has_objective_ = false, has_attainable_ = false;
 };
 
 }  // namespace
 
-double ObjectiveSlack(const Job& job, const std::vector<Objective>& objectives,
-                      double estimate_s, double wall,
-                      double without_objective_s) {
+double ComputeObjectiveSlack(const Job& job,
+                             const std::vector<Objective>& objectives,
+                             double estimate_s, double wall_s,
+                             double without_objective_s) {
   const JobSpec& spec = job.spec();
-  const double age = job.Age(wall);
+  const double age_s = job.AgeAt(wall_s);
   SlackOfObjectives slack(without_objective_s);
-  if (spec.deadline_s) slack.Add(*spec.deadline_s - age - estimate_s);
+  if (spec.deadline_s) slack.Add(*spec.deadline_s - age_s - estimate_s);
   for (const Objective& objective : objectives) {
     if (objective.job_class != spec.job_class) continue;
     if (objective.kind == "deadline" && spec.deadline_s &&
         objective.deadline_factor > 1)
-      slack.Add(*spec.deadline_s * objective.deadline_factor - age -
+      slack.Add(*spec.deadline_s * objective.deadline_factor - age_s -
                 estimate_s);
     if (objective.within_s <= 0) continue;
-    if (objective.kind == "wait") slack.Add(objective.within_s - age);
+    if (objective.kind == "wait") slack.Add(objective.within_s - age_s);
     if (objective.kind == "finished")
-      slack.Add(objective.within_s - age - estimate_s);
+      slack.Add(objective.within_s - age_s - estimate_s);
   }
-  return slack.Result();
+  return slack.slack_s();
 }
 
 }  // namespace sorrelwood
--- a/src/core/jobs/objective_slack.h
+++ b/src/core/jobs/objective_slack.h
@@ -1,5 +1,5 @@
-// How much time a job has left to meet its deadline and the service-level
-// objectives of its class.
+// Objective slack: how long a job can still wait without missing its deadline
+// or the service-level objectives of its class.
 #pragma once
 
 #include <vector>
@@ -9,13 +9,14 @@
 
 namespace sorrelwood {
 
-// The time (s) that the job's last task may still wait before the next
-// objective that can be met is missed. Negative when every objective is missed:
-// then how long ago the latest of them was. `without_objective_s` where the job
-// has none, and the most that is returned. `estimate_s` is the expected run
-// time of a task, `wall` the wall time.
-double ObjectiveSlack(const Job& job, const std::vector<Objective>& objectives,
-                      double estimate_s, double wall,
-                      double without_objective_s);
+// Returns the time (s) that the job's last task may still wait before the next
+// attainable objective is missed. If all objectives are missed, returns the
+// negative time since the latest miss. Returns `without_objective_s` for a job
+// without objectives; this is also the upper bound of the result. `estimate_s`
+// is the expected run time of a task, `wall_s` the current wall time.
+double ComputeObjectiveSlack(const Job& job,
+                             const std::vector<Objective>& objectives,
+                             double estimate_s, double wall_s,
+                             double without_objective_s);
 
 }  // namespace sorrelwood
--- a/src/core/jobs/queue_ranking.h
+++ b/src/core/jobs/queue_ranking.h
@@ -1,5 +1,5 @@
-// Computes the queue position of every job: guarantees, objectives, backlog and
-// size, as QueueOrder needs them.
+// Computes the queue positions of all jobs from guarantees, objectives,
+// backlogs and sizes. QueueOrder compares them.
 #pragma once
 
 #include <map>
@@ -13,37 +13,40 @@
 
 namespace sorrelwood {
 
-// Used for one ranking and thrown away.
+// Holds the state of one ranking; not reusable.
 class QueueRanking {
  public:
-  // `settings` and `run_times` must outlive this object; `wall` is the wall
-  // time.
+  // `settings` and `run_times` must outlive this object; `wall_s` is the
+  // current wall time.
   QueueRanking(const ClusterSettings& settings,
-               const RunTimeEstimator& run_times, double wall)
-      : settings_(settings), run_times_(run_times), wall_(wall) {}
+               const RunTimeEstimator& run_times, double wall_s)
+      : settings_(settings), run_times_(run_times), wall_s_(wall_s) {}
 
-  // Sets the queue position of all jobs, which are in the order of their
+  // Sets the queue positions of all jobs. `by_arrival` must be in the order of
   // arrival: earlier jobs use up their team's guarantee first.
   void Rank(const std::vector<Job*>& by_arrival);
 
  private:
   void AddServiceCpus(const std::vector<Job*>& by_arrival);
   void RankJob(Job* job);
-  // What is left of the job: tasks, and a single one while it fails everywhere.
-  static double TasksLeft(const Job& job);
-  // The job and those of its team before it lie within the team's guarantee.
-  bool TakeFromGuarantee(const Job& job, const Team* team);
+  // Returns the number of tasks that are not done; 1 while the job is failing.
+  static double CountTasksLeft(const Job& job);
+  // Adds the job to what its team requests. True if the requests of the team up
+  // to and including this job fit into the guarantee.
+  bool ClaimGuarantee(const Job& job, const Team* team);
   void AddToBacklog(const Job& job, const Team& team);
   int SizeClass(const Job& job) const;
   bool IsLate(const Job& job) const;
   bool IsStarving(const Job& job) const;
-  // Null: the settings name no such team; it has no guarantee.
+  // Returns null if the settings name no team of this name; such a team has no
+  // guarantee.
   const Team* FindTeam(const std::string& name) const;
 
   const ClusterSettings& settings_;
   const RunTimeEstimator& run_times_;
-  double wall_;
-  std::map<std::string, TeamUsage> wanted_;  // by jobs looked at, by team
+  double wall_s_;
+  // Capacity that the jobs ranked so far request, by team.
+  std::map<std::string, TeamUsage> requested_;
   std::map<std::string, double> backlog_s_, service_cpus_;  // by team
 };
 
--- a/src/core/jobs/run_time_estimator.cc
+++ b/src/core/jobs/run_time_estimator.cc
@@ -12,8 +12,8 @@
 
 double RunTimeEstimator::Estimate(const JobSpec& spec) const {
   if (spec.IsService()) return kServiceEstimateS;
-  const auto it = correction_.find(spec.job_class);
-  const double correction = it == correction_.end() ? 1.0 : it->second;
+  const auto learnt = corrections_.find(spec.job_class);
+  const double correction = learnt == corrections_.end() ? 1.0 : learnt->second;
   return OwnersEstimate(spec) * correction;
 }
 
@@ -22,7 +22,7 @@
       std::clamp(ran_s / OwnersEstimate(spec), 1 / kMaxEstimateCorrection,
                  kMaxEstimateCorrection);
   double& correction =
-      correction_.try_emplace(spec.job_class, 1.0).first->second;
+      corrections_.try_emplace(spec.job_class, 1.0).first->second;
   correction += (ratio - correction) * kEstimateLearningRate;
 }
 
--- a/src/core/jobs/run_time_estimator.h
+++ b/src/core/jobs/run_time_estimator.h
@@ -1,5 +1,5 @@
-// Predicts how long a task runs: the owner's estimate, corrected by how far the
-// estimates of the job's class have been off.
+// Predicts the run time of tasks: the owner's estimate times a correction
+// learnt from completed tasks of the same job class.
 #pragma once
 
 #include <map>
@@ -11,19 +11,20 @@
 
 class RunTimeEstimator {
  public:
-  // The expected run time of a task of the job (s). A service, which runs until
-  // it is cancelled, counts kServiceEstimateS.
+  // Returns the expected run time of a task (s); kServiceEstimateS for a
+  // service, which runs until it is cancelled.
   double Estimate(const JobSpec& spec) const;
-  // A task of the job completed after `ran_s` seconds without interruption.
+  // Learns from a task that completed after running for `ran_s` without
+  // interruption.
   void Learn(const JobSpec& spec, double ran_s);
 
  private:
-  // The owner's estimate (s), at least kMinEstimateS: prevents a division by
-  // an estimate of zero.
+  // Returns the owner's estimate (s), at least kMinEstimateS to avoid a
+  // division by zero.
   static double OwnersEstimate(const JobSpec& spec);
 
   // Smoothed ratio of the run time to the owner's estimate, by class.
-  std::map<std::string, double> correction_;
+  std::map<std::string, double> corrections_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/jobs/team_usage.h
+++ b/src/core/jobs/team_usage.h
@@ -1,5 +1,5 @@
-// What each team's placed tasks use, which quotas and guarantees are compared
-// with.
+// Capacity used by the placed tasks of each team. Quotas and guarantees are
+// checked against it.
 #pragma once
 
 #include <map>
@@ -13,12 +13,12 @@
 
 class TeamUsageTable {
  public:
-  // Nothing in use for a team that is not known.
-  TeamUsage Of(const std::string& team) const {
-    const auto it = usage_.find(team);
-    return it == usage_.end() ? TeamUsage() : it->second;
+  // Returns 0 usage for an unknown team.
+  TeamUsage UsageOf(const std::string& team) const {
+    const auto usage = usage_.find(team);
+    return usage == usage_.end() ? TeamUsage() : usage->second;
   }
-  // Negative amounts give back.
+  // Negative amounts reduce the usage.
   void Add(const std::string& team, double cpus, double gpus) {
     TeamUsage& usage = usage_[team];
     usage.cpus += cpus;
--- a/src/core/jobs/wait_features.h
+++ b/src/core/jobs/wait_features.h
@@ -1,5 +1,6 @@
-// The state of the cluster when a job arrives, from which its wait for owned
-// capacity is predicted (Table 1 of "Good Things Come to Those Who Wait").
+// The state of the cluster at a job's arrival, from which the wait predictor
+// predicts the job's wait for owned capacity. The features are those of Table 1
+// of "Good Things Come to Those Who Wait".
 #pragma once
 
 #include <array>
@@ -12,22 +13,29 @@
   double memory_utilisation = 0;  // of owned machines, 0 to 1
   double running = 0;             // tasks on owned machines
   double waiting = 0;             // pending tasks of all jobs
-  double running_mean_cpus = 0;   // CPUs of a running task
-  double running_mean_age_s = 0;  // since a running task started
-  double waiting_mean_cpus = 0;   // CPUs of a pending task
-  double waiting_mean_age_s = 0;  // since a pending task's job arrived
-  double cpus = 0;                // that a task of the new job asks for
+  double running_mean_cpus = 0;   // mean CPUs of a running task
+  double running_mean_age_s = 0;  // mean time since a running task started
+  double waiting_mean_cpus = 0;   // mean CPUs of a pending task
+  double waiting_mean_age_s =
+      0;            // mean time since a pending task's job arrived
+  double cpus = 0;  // CPUs that a task of the new job asks for
 };
 
 inline constexpr size_t kWaitFeatureCount = 9;
 
-// The features in the order of WaitFeatures, as the regression trees take them.
+// The features in the order of WaitFeatures, as input of the regression trees.
 using FeatureVector = std::array<double, kWaitFeatureCount>;
 
-inline FeatureVector ToVector(const WaitFeatures& f) {
-  return {f.cpu_utilisation,   f.memory_utilisation, f.running,
-          f.waiting,           f.running_mean_cpus,  f.running_mean_age_s,
-          f.waiting_mean_cpus, f.waiting_mean_age_s, f.cpus};
+inline FeatureVector ToVector(const WaitFeatures& features) {
+  return {features.cpu_utilisation,
+          features.memory_utilisation,
+          features.running,
+          features.waiting,
+          features.running_mean_cpus,
+          features.running_mean_age_s,
+          features.waiting_mean_cpus,
+          features.waiting_mean_age_s,
+          features.cpus};
 }
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/admission.h
+++ b/src/core/scheduling/admission.h
@@ -1,5 +1,5 @@
-// Which jobs may start a task now: runnable tasks, and the quotas and
-// guarantees of teams.
+// Admission: decides whether a job may start a task now, from the state of its
+// tasks and from the quota and the guarantee of its team.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +13,23 @@
 
 namespace sorrelwood {
 
-// The capacity that a task is to be placed on.
+// The capacity that a pending task may be placed on.
 enum class CapacityClass {
-  kOwned,  // owned machines: for tasks that wait for them
-  kAny,    // for all other pending tasks
+  kOwned,  // only owned machines: tasks that the waiting policy made wait
+  kAny,    // all machines: every other pending task
 };
 
 class Admission {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   Admission(const Context* context, JobTable* jobs,
             const ClusterSettings* settings)
       : context_(context), jobs_(jobs), settings_(settings) {}
 
-  // Usage that tasks of an earlier term may have on machines that have not
-  // reported yet. It counts against every team's quota: prevents a new leader
-  // from exceeding a quota together with what the earlier one placed.
+  // Sets the number of machines of an earlier term that have not reported yet
+  // and the usage that its tasks may have there. The usage counts against the
+  // quota of every team; otherwise a new leader could exceed a quota, since it
+  // doesn't know yet what the earlier leader placed.
   void set_unreconciled(int machines, double cpus, double gpus) {
     unreconciled_machines_ = machines;
     unreconciled_cpus_ = cpus;
@@ -36,31 +37,37 @@
   }
   int unreconciled_machines() const { return unreconciled_machines_; }
 
-  // The job has a task to start, and nothing about the job forbids it now.
+  // True if the job has a pending task and may start it now. It may not while
+  // it is ending, pauses before a retry, already tries one task after failures,
+  // or may have tasks of an earlier term on machines that have not reported
+  // yet.
   bool MayStartTask(const Job& job) const;
-  // The pending task to start next on the capacity, if there is one.
+  // Returns the pending task to start next on the given capacity, if any.
   std::optional<uint32_t> NextRunnableTask(const Job& job,
                                            CapacityClass capacity) const;
 
-  // One more task keeps the team within its quota; false for an unknown team.
+  // True if the team stays within its quota with one more task of the job;
+  // false for an unknown team.
   bool WithinQuota(const Job& job) const;
-  // One more task keeps the team within its guarantee; false for an unknown
-  // team.
+  // True if the team stays within its guarantee with one more task of the job;
+  // false for an unknown team.
   bool WithinGuarantee(const Job& job) const;
-  // The job's next task is placed in the guarantee pass, before any team uses
-  // capacity beyond its guarantee. See docs/design.md on starvation.
+  // True if the job's next task is placed in the guarantee pass, which comes
+  // before any team uses capacity beyond its guarantee. See docs/design.md on
+  // starvation.
   bool InGuaranteePass(const Job& job) const;
-  // Further tasks of the kind that the team's quota of CPUs allows.
+  // Returns how many more tasks of this specification fit under the team's CPU
+  // quota.
   double SlotsUnderQuota(const JobSpec& spec) const;
 
-  // Sets quota aside for the replicas that are runnable now: prevents other
-  // tasks of a team from taking what was freed for its replicas.
-  void SetQuotaAsideForServices();
-  // A task was placed: a replica uses what was set aside for it.
-  void OnPlaced(const JobSpec& spec);
+  // Reserves quota for the replicas that are runnable now; otherwise other
+  // tasks of the team would take the quota that was freed for its replicas.
+  void ReserveQuotaForServices();
+  // Called when a task was placed: a replica uses up its reserved quota.
+  void OnTaskPlaced(const JobSpec& spec);
 
  private:
-  // Null: the settings name no such team.
+  // Returns null if the settings name no team of this name.
   const Team* FindTeam(const std::string& name) const;
 
   const Context* context_;
@@ -68,7 +75,8 @@
   const ClusterSettings* settings_;
   int unreconciled_machines_ = 0;
   double unreconciled_cpus_ = 0, unreconciled_gpus_ = 0;
-  std::map<std::string, double> cpus_for_services_;  // set aside, by team
+  // CPUs of the quota that are reserved for replicas, by team.
+  std::map<std::string, double> reserved_service_cpus_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -1,5 +1,5 @@
-// Bin packing: which of several machines a task goes to. Best fit by free
-// cores, after criteria that weigh more.
+// Bin packing: chooses the machine for a task among several candidates. Best
+// fit by free cores is one criterion; others take precedence over it.
 #pragma once
 
 #include <compare>
@@ -18,38 +18,39 @@
 
 namespace sorrelwood {
 
-// How well a machine suits a task; the least is the best. The first criterion
-// in which two machines differ decides.
+// How well a machine suits a task; the lowest score wins. Scores are compared
+// field by field in the order of declaration.
 struct FitScore {
-  // Machines that are to be drained come last.
+  // Machines chosen for draining come last.
   bool draining = false;
-  // What is to start at once goes where its image is.
+  // Tasks that must start immediately prefer machines that hold their image.
   bool fetch_delays_start = false;
-  // Replicas of a service are kept apart where room allows.
+  // Replicas of a service are placed on different machines if possible.
   size_t replicas_of_job = 0;
-  // What is to start at once goes to the machine that reports next: the one
-  // with the oldest heartbeat. 0 for all other work.
+  // Tasks that must start immediately prefer the machine that reports next,
+  // which is the one with the oldest heartbeat. 0 for all other tasks.
   double last_heartbeat_at = 0;
-  // Owned machines go first: they cost the same whether they are used or not.
+  // Owned machines are preferred: they cost the same whether used or idle.
   bool rented = false;
-  // Load spread: the task would take the machine beyond its bounds.
+  // Load spread: the task would push the machine beyond its load bounds.
   bool crowded = false;
-  // The image is to be fetched, and that takes long beside the task.
+  // The image must be fetched, which takes long compared with the task.
   bool long_fetch = false;
-  // Best fit: the least room that suffices keeps large gaps for large tasks.
+  // Best fit: the machine with the fewest free cores that suffice is preferred,
+  // which leaves large free blocks for large tasks.
   double cpus_free = 0;
-  // The image is to be fetched, if quickly.
-  bool fetch = false;
-  // Load spread: gathers the tasks of an image on few machines.
+  // The image must be fetched, however quickly.
+  bool needs_fetch = false;
+  // Load spread: concentrates the tasks that use an image on few machines.
   uint64_t tie_break = 0;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
   auto operator<=>(const FitScore&) const = default;
 };
 
 class BinPacker {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   BinPacker(Context* context, const JobTable* jobs,
             const Eligibility* eligibility,
             const ImmediateStartReserves* reserves,
@@ -60,22 +61,22 @@
         reserves_(reserves),
         deficit_(deficit) {}
 
-  // Null: load is not spread. Must outlive this object.
+  // Null turns load spread off. Must outlive this object.
   void set_spread(const PlacementSpread* spread) { spread_ = spread; }
 
-  // The best of the candidates for a task of the job; null where none may take
-  // it. Machines that are kept for the jobs in deficit are left out.
+  // Returns the best candidate for a task of the job, or null if none may run
+  // it. Skips machines that are withheld for the jobs in `in_deficit`.
   Machine* BestFit(const Job& job, const std::vector<Machine*>& candidates,
                    CapacityClass capacity,
                    const std::vector<const Job*>& in_deficit) const;
 
  private:
   FitScore Score(const Job& job, const Machine& machine,
-                 bool starts_at_once) const;
-  // Replicas of the job on the machine; 0 for a job array.
-  static size_t ReplicasOn(const Job& job, const Machine& machine);
-  // Fetching the job's image there takes more than kLongFetchShare of a task's
-  // run time.
+                 bool starts_immediately) const;
+  // Returns the number of the job's replicas on the machine; 0 for a job array.
+  static size_t CountReplicasOn(const Job& job, const Machine& machine);
+  // True if fetching the job's image on the machine takes more than
+  // kLongFetchShare of a task's run time.
   bool IsLongFetch(const Job& job, const Machine& machine) const;
 
   Context* context_;
--- a/src/core/scheduling/eligibility.cc
+++ b/src/core/scheduling/eligibility.cc
@@ -14,12 +14,14 @@
                                          type.name) != spec.types.end();
 }
 
-bool SpreadAllows(const Job& job, const std::string& zone, uint32_t planned) {
+bool ZoneSpreadAllows(const Job& job, const std::string& zone,
+                      uint32_t planned) {
   if (!job.spec().spread) return true;
   const auto& attempts_in_zone = job.progress.attempts_in_zone;
-  const auto it = attempts_in_zone.find(zone);
-  const uint32_t there = it == attempts_in_zone.end() ? 0 : it->second;
-  return there + planned < (job.spec().tasks + 1) / 2;
+  const auto zone_entry = attempts_in_zone.find(zone);
+  const uint32_t placed =
+      zone_entry == attempts_in_zone.end() ? 0 : zone_entry->second;
+  return placed + planned < (job.spec().tasks + 1) / 2;
 }
 
 bool Eligibility::AcceptsTasks(const Machine& machine) const {
@@ -30,19 +32,19 @@
 }
 
 bool Eligibility::IsReachable(const Machine& machine) const {
-  const double silence = kSilentHeartbeats * settings_->heartbeat_interval_s;
+  const double timeout_s = kSilentHeartbeats * settings_->heartbeat_interval_s;
   return !machine.contact.unreachable &&
-         context_->now - machine.contact.last_heartbeat_at < silence &&
-         context_->now - machine.contact.last_delivery_proof_at < silence;
+         context_->now - machine.contact.last_heartbeat_at < timeout_s &&
+         context_->now - machine.contact.last_delivery_proof_at < timeout_s;
 }
 
-// Another machine tells whether the job or the machine is at fault.
+// A retry on another machine shows whether the job or the machine is at fault.
 bool Eligibility::FailedThereRecently(const Job& job,
                                       const Machine& machine) const {
   const FailureHistory& failures = job.failures;
-  return !failures.machines.empty() &&
+  return !failures.machines_failed_on.empty() &&
          context_->now < failures.last_error_at + kSuspectMachineAvoidS &&
-         failures.machines.count(machine.name) > 0;
+         failures.machines_failed_on.count(machine.name) > 0;
 }
 
 std::optional<Ineligibility> Eligibility::Check(const Job& job,
@@ -50,21 +52,23 @@
   const JobSpec& spec = job.spec();
   const auto& attempts_in_zone = job.progress.attempts_in_zone;
   if (FailedThereRecently(job, machine)) return Ineligibility::kRecentFailure;
-  if (!machine.type) return Ineligibility::kUnknownType;
+  if (!machine.type) return Ineligibility::kUnknownMachineType;
   if (!AllowsLocation(spec, *machine.type, machine.zone, machine.spot))
-    return Ineligibility::kLocation;
+    return Ineligibility::kLocationNotAllowed;
   if (spec.one_zone && !attempts_in_zone.empty() &&
       (attempts_in_zone.size() > 1 ||
        attempts_in_zone.begin()->first != machine.zone))
-    return Ineligibility::kOutsideJobsZone;
-  if (!SpreadAllows(job, machine.zone, 0)) return Ineligibility::kZoneIsFull;
+    return Ineligibility::kOutsideZoneOfJob;
+  if (!ZoneSpreadAllows(job, machine.zone, 0))
+    return Ineligibility::kZoneSpreadLimit;
   return std::nullopt;
 }
 
 bool Eligibility::IsEligibleAfterLeaving(const Job& job, const Machine& machine,
                                          const Machine& from) const {
   if (IsEligible(job, machine)) return true;
-  // Only the task that leaves may be in the way: its zone is freed.
+  // In the same zone the moving task may itself be the only obstacle: its
+  // place counts towards the zone limits until it has left.
   return machine.type && machine.zone == from.zone &&
          AllowsLocation(job.spec(), *machine.type, machine.zone, machine.spot);
 }
--- a/src/core/scheduling/eligibility.h
+++ b/src/core/scheduling/eligibility.h
@@ -1,4 +1,5 @@
-// Which machines may run tasks at all, and which of them a job's tasks.
+// Eligibility: whether a machine may run tasks at all, and whether it may run
+// tasks of a given job. Free capacity is not considered here.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +16,46 @@
 
 // Why a machine may not run a task of a job.
 enum class Ineligibility {
-  kRecentFailure,    // a task of the job failed there a short while ago
-  kUnknownType,      // the catalogue has not named the machine's type yet
-  kLocation,         // the job does not allow its type, zone or kind
-  kOutsideJobsZone,  // the job is to stay in one zone and runs in another
-  kZoneIsFull,       // the job is spread, and the zone has its half of it
+  kRecentFailure,       // a task of the job failed there recently
+  kUnknownMachineType,  // the catalogue doesn't list the machine's type yet
+  kLocationNotAllowed,  // the job excludes its type, its zone or spot machines
+  kOutsideZoneOfJob,    // the job must stay in one zone and runs in another
+  kZoneSpreadLimit,     // the zone has half of the tasks of a spread job
 };
 
-// The job allows the machine type, the zone and, if `spot`, preemptible
-// machines.
+// True if the job allows the machine type, the zone and, for a spot machine,
+// machines that the provider may preempt.
 bool AllowsLocation(const JobSpec& spec, const MachineType& type,
                     const std::string& zone, bool spot);
 
-// `planned` tasks and one further task in the zone keep a job that is to be
-// spread within half of its tasks in each zone.
-bool SpreadAllows(const Job& job, const std::string& zone, uint32_t planned);
+// True if one more task may go to the zone, beyond the job's tasks there and
+// `planned` further ones. A job with `spread` may have at most half of its
+// tasks in a zone; other jobs have no limit.
+bool ZoneSpreadAllows(const Job& job, const std::string& zone,
+                      uint32_t planned);
 
 class Eligibility {
  public:
-  // Both must outlive this object.
+  // Both arguments must outlive this object.
   Eligibility(const Context* context, const ClusterSettings* settings)
       : context_(context), settings_(settings) {}
 
-  // The machine reports, its record is stored, and it is neither quarantined
-  // nor about to go: tasks may be placed on it.
+  // True if tasks may be placed on the machine: it is reachable, its record is
+  // stored, and it is neither quarantined nor about to leave the cluster.
   bool AcceptsTasks(const Machine& machine) const;
 
-  // Nothing: the machine may run a task of the job, if it has room.
+  // Returns why the machine may not run a task of the job; nothing if it may.
   std::optional<Ineligibility> Check(const Job& job,
                                      const Machine& machine) const;
   bool IsEligible(const Job& job, const Machine& machine) const {
     return !Check(job, machine);
   }
-  // The same for a task of the job that leaves the machine `from`.
+  // The same as IsEligible for a task of the job that moves away from `from`.
   bool IsEligibleAfterLeaving(const Job& job, const Machine& machine,
                               const Machine& from) const;
 
  private:
-  // Its heartbeats arrive, and so do the answers.
+  // True if the machine's heartbeats arrive here and our answers arrive there.
   bool IsReachable(const Machine& machine) const;
   bool FailedThereRecently(const Job& job, const Machine& machine) const;
 
--- a/src/core/scheduling/guarantee_deficit.cc
+++ b/src/core/scheduling/guarantee_deficit.cc
@@ -4,7 +4,7 @@
 
 namespace sorrelwood {
 
-std::vector<const Job*> GuaranteeDeficit::JobsInDeficit(
+std::vector<const Job*> GuaranteeDeficit::FindJobsInDeficit(
     const std::vector<Job*>& jobs) const {
   std::vector<const Job*> in_deficit;
   for (const Job* job : jobs)
@@ -22,15 +22,15 @@
          spec.memory_gb <= machine.type->memory_gb;
 }
 
-bool GuaranteeDeficit::IsKeptFrom(
+bool GuaranteeDeficit::IsWithheldFrom(
     const Job& job, const Machine& machine,
     const std::vector<const Job*>& in_deficit) const {
   if (in_deficit.empty() || !machine.type || admission_->InGuaranteePass(job) ||
-      jobs_->Estimate(job.spec()) <= machine.type->boot_s)
+      jobs_->EstimateRunTime(job.spec()) <= machine.type->boot_s)
     return false;
   return std::any_of(
-      in_deficit.begin(), in_deficit.end(), [&](const Job* waiting) {
-        return waiting != &job && FitsWhenEmpty(*waiting, machine);
+      in_deficit.begin(), in_deficit.end(), [&](const Job* deficit_job) {
+        return deficit_job != &job && FitsWhenEmpty(*deficit_job, machine);
       });
 }
 
--- a/src/core/scheduling/guarantee_deficit.h
+++ b/src/core/scheduling/guarantee_deficit.h
@@ -1,5 +1,6 @@
-// Guarantee deficit: runnable work within its team's guarantee that finds no
-// room, and the machines that are kept for it.
+// Guarantee deficit: runnable tasks within their team's guarantee for which no
+// machine has room, and the machines that are withheld from other jobs for
+// them.
 #pragma once
 
 #include <vector>
@@ -13,23 +14,24 @@
 
 class GuaranteeDeficit {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   GuaranteeDeficit(const JobTable* jobs, const Admission* admission,
                    const Eligibility* eligibility)
       : jobs_(jobs), admission_(admission), eligibility_(eligibility) {}
 
-  // Those of the jobs that still have a task to be placed in the guarantee
+  // Returns those of the jobs that still have a task to place in the guarantee
   // pass.
-  std::vector<const Job*> JobsInDeficit(const std::vector<Job*>& jobs) const;
+  std::vector<const Job*> FindJobsInDeficit(
+      const std::vector<Job*>& jobs) const;
 
-  // The machine is kept free of the job for one of the jobs in deficit.
-  // Prevents long work beyond a guarantee from taking, core by core, the room
-  // that a larger task within one waits for. Work that is over before another
-  // machine would be up is let through.
-  bool IsKeptFrom(const Job& job, const Machine& machine,
-                  const std::vector<const Job*>& in_deficit) const;
+  // True if the job may not use the machine because a job in deficit could run
+  // there. Otherwise long tasks beyond a guarantee would take, core by core,
+  // the capacity that a larger guaranteed task waits for. Tasks expected to end
+  // within the boot time of a new machine are let through.
+  bool IsWithheldFrom(const Job& job, const Machine& machine,
+                      const std::vector<const Job*>& in_deficit) const;
 
-  // The machine could run a task of the job if it were empty.
+  // True if the machine could run a task of the job if it were empty.
   bool FitsWhenEmpty(const Job& job, const Machine& machine) const;
 
  private:
--- a/src/core/scheduling/guarantee_preemption.cc
+++ b/src/core/scheduling/guarantee_preemption.cc
@@ -21,20 +21,20 @@
   return spec.cpus <= cpus_after && spec.memory_gb <= memory_gb_after;
 }
 
-void GuaranteePreemption::Room::Take(const JobSpec& spec) {
+void GuaranteePreemption::Room::Allocate(const JobSpec& spec) {
   cpus -= spec.cpus;
   memory_gb -= spec.memory_gb;
 }
 
-void GuaranteePreemption::Room::GiveBack(const TaskAttempt& attempt) {
+void GuaranteePreemption::Room::Release(const TaskAttempt& attempt) {
   cpus += attempt.cpus;
   memory_gb += attempt.memory_gb;
 }
 
 bool GuaranteePreemption::Demand::IsOpen() const {
-  // A task without cores would never use up the deficit.
+  // A task that asks for 0 CPUs would never use up the guarantee.
   const double cpus = std::max(job->spec().cpus, kResourceRounding);
-  return tasks >= 1 && *deficit_cpus >= cpus;
+  return tasks >= 1 && *unused_guarantee_cpus >= cpus;
 }
 
 void GuaranteePreemption::MakeRoom(const std::vector<const Job*>& in_deficit) {
@@ -43,20 +43,21 @@
   MeasureRooms();
   for (const Job* job : in_deficit) {
     Demand demand{job, static_cast<double>(job->progress.pending.size()),
-                  &deficit_cpus_[job->spec().team]};
-    // Room that is free, or coming free, is used before any is made.
-    for (const bool may_preempt : {false, true}) Cover(&demand, may_preempt);
+                  &unused_guarantee_cpus_[job->spec().team]};
+    // Capacity that is free or coming free is used before tasks are stopped.
+    for (const bool may_preempt : {false, true})
+      CoverDemand(&demand, may_preempt);
   }
-  rooms_.clear();  // their pointers are valid for this run only
+  rooms_.clear();  // its pointers to tasks are valid during this run only
 }
 
 void GuaranteePreemption::MeasureTeams() {
-  beyond_cpus_.clear();
-  deficit_cpus_.clear();
+  cpus_beyond_guarantee_.clear();
+  unused_guarantee_cpus_.clear();
   for (const Team& team : settings_->teams) {
     const double usage = jobs_->UsageOf(team.name).cpus;
-    beyond_cpus_[team.name] = usage - team.cpus;
-    deficit_cpus_[team.name] = team.cpus - usage;
+    cpus_beyond_guarantee_[team.name] = usage - team.cpus;
+    unused_guarantee_cpus_[team.name] = team.cpus - usage;
   }
 }
 
@@ -66,7 +67,7 @@
   for (auto& [name, machine] : machines_->all()) {
     if (!eligibility_->AcceptsTasks(*machine) || !machine->type) continue;
     Room room = MeasureRoom(machine.get());
-    // A machine that is full of tasks that may not be stopped has no room.
+    // Skips machines that are full of tasks that may not be stopped.
     if (room.cpus > 0 || !room.preemptible.empty())
       rooms_.push_back(std::move(room));
   }
@@ -74,34 +75,35 @@
 
 GuaranteePreemption::Room GuaranteePreemption::MeasureRoom(Machine* machine) {
   Room room{machine, machine->cpus_free(), machine->memory_free(), {}};
-  for (auto& [key, attempt] : machine->attempts) {
+  for (auto& [task_id, attempt] : machine->attempts) {
     if (attempt.stop)
-      room.GiveBack(attempt);
-    else if (beyond_cpus_[attempt.record->spec.team] >= attempt.cpus &&
+      room.Release(attempt);
+    else if (cpus_beyond_guarantee_[attempt.record->spec.team] >=
+                 attempt.cpus &&
              IsPreemptible(attempt, context_->now))
       room.preemptible.push_back(&attempt);
   }
   return room;
 }
 
-void GuaranteePreemption::Cover(Demand* demand, bool may_preempt) {
+void GuaranteePreemption::CoverDemand(Demand* demand, bool may_preempt) {
   for (Room& room : rooms_) {
     if (!demand->IsOpen()) return;
     if (!deficit_->FitsWhenEmpty(*demand->job, *room.machine)) continue;
-    // Prevents stopping tasks where the room would not suffice even so.
+    // Avoids stopping tasks if the room would still be too small.
     if (may_preempt && !room.FitsAfterPreemption(demand->job->spec())) continue;
-    CoverOn(&room, demand, may_preempt);
+    CoverDemandOn(&room, demand, may_preempt);
   }
 }
 
-void GuaranteePreemption::CoverOn(Room* room, Demand* demand,
-                                  bool may_preempt) {
+void GuaranteePreemption::CoverDemandOn(Room* room, Demand* demand,
+                                        bool may_preempt) {
   const JobSpec& spec = demand->job->spec();
   while (demand->IsOpen()) {
     if (may_preempt) PreemptUntilFits(spec, room);
     if (!room->Fits(spec)) return;
-    room->Take(spec);
-    *demand->deficit_cpus -= spec.cpus;
+    room->Allocate(spec);
+    *demand->unused_guarantee_cpus -= spec.cpus;
     demand->tasks -= 1;
   }
 }
@@ -110,13 +112,13 @@
   while (!room->Fits(spec) && !room->preemptible.empty()) {
     TaskAttempt* attempt = room->preemptible.back();
     room->preemptible.pop_back();
-    double& beyond = beyond_cpus_[attempt->record->spec.team];
-    // Tasks of the team were stopped elsewhere meanwhile: it is not taken below
-    // its own guarantee.
+    double& beyond = cpus_beyond_guarantee_[attempt->record->spec.team];
+    // Tasks of this team have been stopped on other machines since the room was
+    // measured; a team is not pushed below its own guarantee.
     if (beyond < attempt->cpus) continue;
     beyond -= attempt->cpus;
     StopWithCheckpoint(attempt);
-    room->GiveBack(*attempt);
+    room->Release(*attempt);
   }
 }
 
--- a/src/core/scheduling/guarantee_preemption.h
+++ b/src/core/scheduling/guarantee_preemption.h
@@ -1,5 +1,6 @@
-// Preemption for guarantees: a team gets back what it is guaranteed at once,
-// not when the borrowers' tasks end (docs/design.md).
+// Preemption for guarantees: stops tasks of teams that use more than their
+// guarantee, so that another team gets its guarantee without waiting for those
+// tasks to end (docs/design.md).
 #pragma once
 
 #include <map>
@@ -16,7 +17,7 @@
 
 class GuaranteePreemption {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   GuaranteePreemption(Context* context, JobTable* jobs, MachineTable* machines,
                       const ClusterSettings* settings,
                       const Eligibility* eligibility,
@@ -28,40 +29,43 @@
         eligibility_(eligibility),
         deficit_(deficit) {}
 
-  // Stops preemptible tasks of teams beyond their guarantee until the jobs in
-  // deficit have room, as far as their teams' guarantees go.
+  // Stops preemptible tasks of teams beyond their guarantee until the pending
+  // tasks of the jobs in deficit fit, up to the guarantees of their teams.
   void MakeRoom(const std::vector<const Job*>& in_deficit);
 
  private:
-  // What a machine has free, or will have once stopped tasks have ended. GPUs
-  // are not counted.
+  // The capacity that is free on a machine, including that of tasks that are
+  // being stopped. GPUs are not counted.
   struct Room {
     Machine* machine = nullptr;
     double cpus = 0, memory_gb = 0;
     std::vector<TaskAttempt*> preemptible;
 
     bool Fits(const JobSpec& spec) const;
-    // The same once all preemptible tasks are stopped.
+    // True if a task fits once all preemptible tasks are stopped.
     bool FitsAfterPreemption(const JobSpec& spec) const;
-    void Take(const JobSpec& spec);
-    void GiveBack(const TaskAttempt& attempt);
+    void Allocate(const JobSpec& spec);
+    void Release(const TaskAttempt& attempt);
   };
-  // What is still to be covered for one job.
+  // The tasks of one job that still need capacity.
   struct Demand {
     const Job* job = nullptr;
     double tasks = 0;
-    double* deficit_cpus = nullptr;  // of its team
+    double* unused_guarantee_cpus = nullptr;  // of the job's team
 
-    // There is a task left, and its team's guarantee covers it.
+    // True if a task is left and its team's guarantee covers it.
     bool IsOpen() const;
   };
 
   void MeasureTeams();
   void MeasureRooms();
   Room MeasureRoom(Machine* machine);
-  void Cover(Demand* demand, bool may_preempt);
-  void CoverOn(Room* room, Demand* demand, bool may_preempt);
-  // Stops tasks in the room until a task of the job fits or none is left.
+  // Allocates room to the demand's tasks on all machines. Stops tasks for it if
+  // `may_preempt`, otherwise uses only capacity that is free or coming free.
+  void CoverDemand(Demand* demand, bool may_preempt);
+  void CoverDemandOn(Room* room, Demand* demand, bool may_preempt);
+  // Stops preemptible tasks in the room until a task of `spec` fits or no
+  // preemptible task is left.
   void PreemptUntilFits(const JobSpec& spec, Room* room);
 
   Context* context_;
@@ -71,9 +75,10 @@
   const Eligibility* eligibility_;
   const GuaranteeDeficit* deficit_;
 
-  // Of one run, by team: CPUs in use beyond the guarantee, and CPUs of the
-  // guarantee that are not in use.
-  std::map<std::string, double> beyond_cpus_, deficit_cpus_;
+  // Valid during one run of MakeRoom, by team: CPUs in use beyond the guarantee
+  // (negative below it), and CPUs of the guarantee that are not in use
+  // (negative beyond it).
+  std::map<std::string, double> cpus_beyond_guarantee_, unused_guarantee_cpus_;
   std::vector<Room> rooms_;
 };
 
--- a/src/core/scheduling/headroom.cc
+++ b/src/core/scheduling/headroom.cc
@@ -8,7 +8,7 @@
 
 namespace sorrelwood {
 
-std::vector<Headroom> HeadroomForecast::Needs() const {
+std::vector<Headroom> HeadroomForecast::ForecastNeeds() const {
   std::vector<Headroom> needs;
   for (const auto& [job_class, profile] : jobs_->class_profiles())
     if (profile.spec.IsService())
@@ -29,10 +29,12 @@
   const auto [first, last] =
       std::minmax_element(arrivals.begin(), arrivals.end());
   if (context_->wall - *last > kHeadroomMemoryS) return 0;
-  const auto recent = std::count_if(
-      arrivals.begin(), arrivals.end(),
-      [&](double at) { return context_->wall - at < kArrivalWindowS; });
-  // While few have come, the time since the first tells the rate.
+  const auto recent =
+      std::count_if(arrivals.begin(), arrivals.end(), [&](double arrived_at) {
+        return context_->wall - arrived_at < kArrivalWindowS;
+      });
+  // The window starts at the oldest known arrival, so that the rate of a new
+  // class isn't underestimated.
   const double span_s =
       std::clamp(context_->wall - *first, kMinArrivalSpanS, kArrivalWindowS);
   const double jobs_per_boot =
--- a/src/core/scheduling/headroom.h
+++ b/src/core/scheduling/headroom.h
@@ -1,5 +1,5 @@
-// Capacity headroom: room that is to exist for replicas that are yet to come,
-// since a boot takes longer than a replica may wait.
+// Headroom: capacity provided in advance for replicas of future services, since
+// booting a machine takes longer than a replica may wait.
 #pragma once
 
 #include <string>
@@ -13,14 +13,14 @@
 
 namespace sorrelwood {
 
-// The headroom of one class. Other work may use it meanwhile as far as it can
-// be preempted.
+// The headroom of one job class. Until it is needed, tasks that the class can
+// preempt may use it.
 struct Headroom {
   std::string job_class;
   ClassProfile profile;
-  double slots = 0;  // for so many replicas
+  double slots = 0;  // number of replicas to have capacity for
 
-  // Slots in one zone that count towards it.
+  // Returns how many slots in one zone count towards `slots`.
   double SlotsPerZone() const {
     return sorrelwood::SlotsPerZone(profile, slots);
   }
@@ -28,7 +28,7 @@
 
 class HeadroomForecast {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   HeadroomForecast(const Context* context, const JobTable* jobs,
                    MachineTable* machines, const Admission* admission)
       : context_(context),
@@ -36,16 +36,17 @@
         machines_(machines),
         admission_(admission) {}
 
-  // One entry for every class of services that has been seen.
-  std::vector<Headroom> Needs() const;
+  // Returns one entry for each class of services that has had a job.
+  std::vector<Headroom> ForecastNeeds() const;
 
  private:
-  // What arrives while a machine boots, and kHeadroomJobs jobs more. None for a
-  // class of which nothing has come for kHeadroomMemoryS, or that its team's
-  // quota does not allow: prevents paying without end for room that nobody
-  // uses.
+  // Returns the slots for the jobs expected during one machine boot plus
+  // kHeadroomJobs more. 0 for a class without arrivals for kHeadroomMemoryS,
+  // and never more than the team's quota allows; otherwise unused capacity
+  // would be paid for indefinitely.
   double SlotsFor(const ClassProfile& profile) const;
-  // The boot time of the quickest type in the fleet (s); 0 without machines.
+  // Returns the shortest boot time of the machine types in use (s); 0 if there
+  // are no machines.
   double ShortestBootS() const;
 
   const Context* context_;
--- a/src/core/scheduling/immediate_start_reserves.cc
+++ b/src/core/scheduling/immediate_start_reserves.cc
@@ -9,11 +9,11 @@
 
 namespace sorrelwood {
 
-double ImmediateStartReserves::Reserve::Covered() const {
-  const double per_zone = SlotsPerZone(profile, slots);
+double ImmediateStartReserves::Reserve::CountCoveredSlots() const {
+  const double max_per_zone = SlotsPerZone(profile, slots);
   double covered = 0;
   for (const auto& [zone, count] : free_slots)
-    covered += std::min(count, per_zone);
+    covered += std::min(count, max_per_zone);
   return covered;
 }
 
@@ -63,8 +63,8 @@
 double ImmediateStartReserves::SlotsToReserve(const ClassProfile& profile,
                                               double all_slots) {
   const double slots = std::ceil(profile.tasks * kReserveJobs);
-  // What a service reserves may be used by work that it can preempt, so that
-  // no share of the fleet bounds it.
+  // Tasks that a service can preempt may use its reserve, so the reserve isn't
+  // limited to a share of the cluster.
   return profile.spec.IsService()
              ? slots
              : std::min(slots, all_slots * kReserveMaxShare);
@@ -73,10 +73,10 @@
 void ImmediateStartReserves::Recount(Machine* machine) {
   machine->reserve_slots.resize(reserves_.size());
   for (size_t i = 0; i < reserves_.size(); ++i) {
-    double& counted = machine->reserve_slots[i];
+    double& counted_slots = machine->reserve_slots[i];
     const double slots = FreeSlots(*machine, reserves_[i].profile);
-    reserves_[i].free_slots[machine->zone] += slots - counted;
-    counted = slots;
+    reserves_[i].free_slots[machine->zone] += slots - counted_slots;
+    counted_slots = slots;
   }
 }
 
@@ -93,8 +93,8 @@
   const JobSpec& reserved = reserve.profile.spec;
   if (reserve.job_class == spec.job_class || spec.priority > reserved.priority)
     return true;
-  // Prevents work from waiting for ever beside room that is kept free: a
-  // service can preempt it again.
+  // Prevents jobs from waiting forever while capacity is kept free: a service
+  // can preempt their tasks again.
   return reserved.IsService() && context_->now - job.queued_at > kReserveYieldS;
 }
 
@@ -103,11 +103,12 @@
   for (const Reserve& reserve : reserves_) {
     if (MayUse(job, reserve)) continue;
     const double before = FreeSlots(machine, reserve.profile);
-    const double after = FreeSlotsBeside(machine, reserve.profile, job.spec());
+    const double after =
+        FreeSlotsAfterPlacing(machine, reserve.profile, job.spec());
     if (after >= before) continue;
-    Reserve then = reserve;
-    then.free_slots[machine.zone] += after - before;
-    if (then.Covered() < reserve.slots) return false;
+    Reserve reserve_after = reserve;
+    reserve_after.free_slots[machine.zone] += after - before;
+    if (reserve_after.CountCoveredSlots() < reserve.slots) return false;
   }
   return true;
 }
--- a/src/core/scheduling/immediate_start_reserves.h
+++ b/src/core/scheduling/immediate_start_reserves.h
@@ -1,6 +1,6 @@
-// Room that is kept free for job classes whose tasks are to start at once:
-// services, and classes with an objective of a wait of kImmediateStartWithinS
-// or less.
+// Capacity that is kept free for job classes whose tasks must start
+// immediately: services, and classes with a wait objective of
+// kImmediateStartWithinS or less.
 #pragma once
 
 #include <map>
@@ -14,13 +14,13 @@
 
 namespace sorrelwood {
 
-// Measured over the fleet once a pass, since that costs a look at all machines.
-// In between each machine is recounted when it reports or gets a task: room
-// that has come free there must count, or it would stay empty until the next
-// pass.
+// The reserves are measured over all machines once per placement pass, which is
+// expensive. Between passes a machine is recounted when it reports or gets a
+// task; otherwise capacity that became free there would stay empty until the
+// next pass.
 class ImmediateStartReserves {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   ImmediateStartReserves(Context* context, const JobTable* jobs,
                          MachineTable* machines,
                          const ClusterSettings* settings,
@@ -31,34 +31,35 @@
         settings_(settings),
         eligibility_(eligibility) {}
 
-  // The fleet may change unseen from now on: measures before the next use.
+  // Called when later changes to machines may go uncounted: the next
+  // MeasureIfStale measures again.
   void Invalidate() { stale_ = true; }
   void Measure();
   void MeasureIfStale() {
     if (stale_) Measure();
   }
-  // The machine's free room has changed.
+  // Updates the reserves after the machine's free capacity has changed.
   void Recount(Machine* machine);
 
-  // The job's class has a reserve.
+  // True if the job's class has a reserve.
   bool IsReservedFor(const Job& job) const;
-  // A task of the job on the machine leaves every reserve of other classes
-  // covered, or is allowed to use it.
+  // True if a further task of the job on the machine leaves every reserve
+  // covered that the job may not use.
   bool LeavesReservesCovered(const Job& job, const Machine& machine) const;
 
  private:
   struct Reserve {
     std::string job_class;
     ClassProfile profile;
-    double slots = 0;                          // that are to stay free
-    std::map<std::string, double> free_slots;  // now, by zone
-    // Free slots that count towards it, in all zones.
-    double Covered() const;
+    double slots = 0;                          // to keep free
+    std::map<std::string, double> free_slots;  // currently, by zone
+    // Returns the free slots in all zones that count towards `slots`.
+    double CountCoveredSlots() const;
   };
 
   std::vector<std::string> ReservedClasses() const;
-  // Counts the free slots of the `index`-th reserve over the fleet. Returns the
-  // slots that there would be if all machines were empty.
+  // Counts the free slots of the reserve at `index` on all machines. Returns
+  // the slots that all machines would have if they were empty.
   double CountFreeSlots(size_t index, Reserve* reserve);
   static double SlotsToReserve(const ClassProfile& profile, double all_slots);
   bool MayUse(const Job& job, const Reserve& reserve) const;
@@ -68,8 +69,8 @@
   MachineTable* machines_;
   const ClusterSettings* settings_;
   const Eligibility* eligibility_;
-  // Machine::reserve_slots holds each machine's part of free_slots, in the
-  // order of this list.
+  // Machine::reserve_slots holds the machine's contribution to free_slots of
+  // each reserve, in the order of this list.
   std::vector<Reserve> reserves_;
   bool stale_ = true;
 };
--- a/src/core/scheduling/pass_selection.cc
+++ b/src/core/scheduling/pass_selection.cc
@@ -12,21 +12,21 @@
 std::vector<Job*> SelectJobs(Context* context, JobTable* jobs,
                              const ClusterSettings& settings,
                              Admission* admission) {
-  admission->SetQuotaAsideForServices();
+  admission->ReserveQuotaForServices();
   std::vector<Job*> selected;
-  // The part that each team has in any case prevents a team with much work
-  // from filling the selection and going beyond its guarantee while another is
-  // kept from its own.
-  std::map<std::string_view, size_t> selected_of_team;
+  // The minimum per team prevents a team with a large backlog from filling the
+  // selection and exceeding its guarantee while another team can't use its own.
+  std::map<std::string_view, size_t> selected_by_team;
   size_t complete_teams = 0;
   for (Job* job : jobs->queue()) {
     ++context->work;
-    size_t& of_team = selected_of_team[job->spec().team];
-    if (selected.size() >= kPassJobs && of_team >= kPassJobsPerTeam) continue;
+    size_t& selected_of_team = selected_by_team[job->spec().team];
+    if (selected.size() >= kPassJobs && selected_of_team >= kPassJobsPerTeam)
+      continue;
     if (!admission->MayStartTask(*job) || !admission->WithinQuota(*job))
       continue;
     selected.push_back(job);
-    if (++of_team == kPassJobsPerTeam) ++complete_teams;
+    if (++selected_of_team == kPassJobsPerTeam) ++complete_teams;
     if (selected.size() >= kPassJobs && complete_teams >= settings.teams.size())
       break;
   }
--- a/src/core/scheduling/pass_selection.h
+++ b/src/core/scheduling/pass_selection.h
@@ -1,5 +1,5 @@
-// Which jobs and machines one placement pass looks at: bounds what a pass
-// costs, whatever the length of the queue and the size of the fleet.
+// Selects the jobs and machines that one placement pass considers. This bounds
+// the cost of a pass, whatever the queue length and the number of machines.
 #pragma once
 
 #include <vector>
@@ -11,16 +11,16 @@
 
 namespace sorrelwood {
 
-// The first jobs of the queue that may have a task started: kPassJobs of them,
-// and beyond those kPassJobsPerTeam of each team. Sets quota aside for services
-// first.
+// Reserves quota for services, then returns the first jobs of the queue that
+// may start a task: kPassJobs of them, and further ones until each team has
+// kPassJobsPerTeam.
 std::vector<Job*> SelectJobs(Context* context, JobTable* jobs,
                              const ClusterSettings& settings,
                              Admission* admission);
 
-// Cuts the candidates to kSampleMachines drawn at random, where there are more.
-// Owned machines, and those that hold an image of the first kSampleImageJobs
-// jobs, come into the sample first.
+// Reduces more than kSampleMachines candidates to a random sample of this size.
+// The sample prefers owned machines and machines that hold an image of the
+// first kSampleImageJobs jobs.
 void SampleMachines(Context* context, const std::vector<Job*>& jobs,
                     std::vector<Machine*>* candidates);
 
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -7,8 +7,8 @@
 namespace sorrelwood {
 namespace {
 
-// The term stands in the high half of an attempt's number, a counter in the
-// low one: no two leaders give the same number.
+// An attempt number holds the term in the upper 32 bits and a counter in the
+// lower 32 bits, so that no two leaders assign the same number.
 constexpr int kTermShift = 32;
 
 }  // namespace
@@ -33,11 +33,11 @@
   packer_.set_spread(spread);
 }
 
-std::vector<Job*> Placement::JobsForPass() {
+std::vector<Job*> Placement::SelectJobsForPass() {
   return SelectJobs(context_, jobs_, *settings_, &admission_);
 }
 
-std::vector<Machine*> Placement::MachinesForPass(
+std::vector<Machine*> Placement::SelectMachinesForPass(
     const std::vector<Job*>& jobs) {
   std::vector<Machine*> candidates;
   context_->work += machines_->all().size();
@@ -51,17 +51,17 @@
 }
 
 void Placement::RunPass(uint64_t term) {
-  const std::vector<Job*> jobs = JobsForPass();
+  const std::vector<Job*> jobs = SelectJobsForPass();
   if (jobs.empty()) {
     reserves_.Invalidate();
     return;
   }
   reserves_.Measure();
-  const std::vector<Machine*> candidates = MachinesForPass(jobs);
+  const std::vector<Machine*> candidates = SelectMachinesForPass(jobs);
   if (candidates.empty()) return;
   std::vector<const Job*> in_deficit;
   for (const bool guarantee_pass : {true, false}) {
-    if (!guarantee_pass) in_deficit = deficit_.JobsInDeficit(jobs);
+    if (!guarantee_pass) in_deficit = deficit_.FindJobsInDeficit(jobs);
     for (Job* job : jobs)
       for (const auto capacity : {CapacityClass::kOwned, CapacityClass::kAny})
         PlaceOnBestFits(job, candidates, in_deficit, {guarantee_pass, capacity},
@@ -73,14 +73,15 @@
                                 const std::vector<Machine*>& candidates,
                                 const std::vector<const Job*>& in_deficit,
                                 Restrictions restrictions, uint64_t term) {
-  // The best fit stays the best until it is full.
+  // Fills each best fit before the next search: it stays the best until full.
   while (admission_.NextRunnableTask(*job, restrictions.capacity) &&
          admission_.WithinQuota(*job) &&
          (!restrictions.guarantee_pass || admission_.InGuaranteePass(*job))) {
     Machine* machine =
         packer_.BestFit(*job, candidates, restrictions.capacity, in_deficit);
     if (!machine) return;
-    restrictions.keep_spread = spread_ && !spread_->WouldCrowd(*job, *machine);
+    restrictions.avoid_crowding =
+        spread_ && !spread_->WouldCrowd(*job, *machine);
     if (!PlaceOn(machine, job, restrictions, term)) return;
   }
 }
@@ -89,22 +90,22 @@
   if (!eligibility_.AcceptsTasks(*machine) || machine->role.excess ||
       machine->cpus_free() <= 0)
     return;
-  const std::vector<Job*> jobs = JobsForPass();
+  const std::vector<Job*> jobs = SelectJobsForPass();
   if (jobs.empty()) return;
   reserves_.MeasureIfStale();
   reserves_.Recount(machine);
   const bool owned = machine->role.baseline;
-  const bool keep_spread = spread_ && !owned;
+  const bool avoid_crowding = spread_ && !owned;
   std::vector<const Job*> in_deficit;
   for (const bool guarantee_pass : {true, false}) {
-    if (!guarantee_pass) in_deficit = deficit_.JobsInDeficit(jobs);
+    if (!guarantee_pass) in_deficit = deficit_.FindJobsInDeficit(jobs);
     for (Job* job : jobs) {
-      if (deficit_.IsKeptFrom(*job, *machine, in_deficit)) continue;
+      if (deficit_.IsWithheldFrom(*job, *machine, in_deficit)) continue;
       if (owned)
         PlaceOn(machine, job,
-                {guarantee_pass, CapacityClass::kOwned, keep_spread}, term);
-      PlaceOn(machine, job, {guarantee_pass, CapacityClass::kAny, keep_spread},
-              term);
+                {guarantee_pass, CapacityClass::kOwned, avoid_crowding}, term);
+      PlaceOn(machine, job,
+              {guarantee_pass, CapacityClass::kAny, avoid_crowding}, term);
       if (machine->cpus_free() <= 0) return;
     }
   }
@@ -116,7 +117,7 @@
          admission_.WithinQuota(job) &&
          reserves_.LeavesReservesCovered(job, machine) &&
          (!restrictions.guarantee_pass || admission_.InGuaranteePass(job)) &&
-         (!restrictions.keep_spread || !spread_->WouldCrowd(job, machine));
+         (!restrictions.avoid_crowding || !spread_->WouldCrowd(job, machine));
 }
 
 bool Placement::PlaceOn(Machine* machine, Job* job,
@@ -137,28 +138,29 @@
   const JobSpec& spec = job->spec();
   SpeculationState& speculation = job->speculation;
   TaskAttempt attempt;
-  attempt.number = (term << kTermShift) | ++attempts_;
+  attempt.number = (term << kTermShift) | ++attempt_counter_;
   attempt.cpus = spec.cpus;
   attempt.gpus = spec.gpus;
   attempt.memory_gb = spec.memory_gb;
   attempt.record = job->record;
   attempt.speculative =
       !machine->role.baseline && !speculation.run_on_rented.Contains(task);
-  if (const auto ran = speculation.ran_before_move_s.find(task);
-      ran != speculation.ran_before_move_s.end()) {
-    attempt.ran_before_s = ran->second;
-    speculation.ran_before_move_s.erase(ran);
+  if (const auto ran_before = speculation.ran_before_move_s.find(task);
+      ran_before != speculation.ran_before_move_s.end()) {
+    attempt.ran_before_s = ran_before->second;
+    speculation.ran_before_move_s.erase(ran_before);
   }
-  speculation.waiting_since.erase(task);
-  admission_.OnPlaced(spec);
-  jobs_->Place(job, task, machine->name, machine->zone);
+  speculation.waiting_for_owned_since.erase(task);
+  admission_.OnTaskPlaced(spec);
+  jobs_->MarkPlaced(job, task, machine->name, machine->zone);
   machine->AddAttempt({job->id(), task}, std::move(attempt));
   if (!machine->HasImage(spec.image)) machine->fetching.push_back(spec.image);
   machine->TouchImage(spec.image);
 }
 
 void Placement::PreemptForGuarantees() {
-  guarantee_preemption_.MakeRoom(deficit_.JobsInDeficit(JobsForPass()));
+  guarantee_preemption_.MakeRoom(
+      deficit_.FindJobsInDeficit(SelectJobsForPass()));
 }
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/placement.h
+++ b/src/core/scheduling/placement.h
@@ -1,6 +1,6 @@
 // Placement: decides which pending task starts on which machine. A pass matches
-// the first jobs of the queue with the machines that have room: first every
-// team up to its guarantee, then whoever is next in the queue.
+// the first jobs of the queue with machines that have free capacity: first for
+// each team up to its guarantee, then in the order of the queue.
 #pragma once
 
 #include <cstdint>
@@ -22,52 +22,51 @@
 
 class Placement {
  public:
-  // All must outlive this object.
+  // All arguments must outlive this object.
   Placement(Context* context, JobTable* jobs, MachineTable* machines,
             const ClusterSettings* settings);
-  // Its parts point to one another.
+  // Not copyable: its members hold pointers to one another.
   Placement(const Placement&) = delete;
   Placement& operator=(const Placement&) = delete;
 
-  // Null: load is not spread. Must outlive this object.
+  // Null turns load spread off. Must outlive this object.
   void set_spread(PlacementSpread* spread);
 
-  // Which machines may run a job's tasks.
   const Eligibility& eligibility() const { return eligibility_; }
-  // Which jobs may start tasks.
   Admission& admission() { return admission_; }
   const Admission& admission() const { return admission_; }
-  // Capacity to be kept for services.
   const HeadroomForecast& headroom() const { return headroom_; }
 
-  // Matches the first jobs of the queue with all machines that have room.
-  // `term` is the leader's, and becomes part of the attempts' numbers.
+  // Matches the first jobs of the queue with the machines that have free
+  // capacity. `term` is the leader's term and becomes part of attempt numbers.
   void RunPass(uint64_t term);
-  // Fills the room of one machine, which is reporting just now.
+  // Places tasks in the free capacity of one machine, whose report is being
+  // handled.
   void FillMachine(Machine* machine, uint64_t term);
-  // Starts the task on the machine as a new attempt. The caller has checked
-  // that it may.
+  // Starts the task on the machine as a new attempt, without further checks.
   void Assign(Job* job, uint32_t task, Machine* machine, uint64_t term);
 
-  // Preempts for the teams' guarantees, see GuaranteePreemption.
+  // Stops tasks to make room for jobs in guarantee deficit, see
+  // GuaranteePreemption.
   void PreemptForGuarantees();
 
  private:
-  // Which tasks of a job are placed.
+  // Limits which tasks of a job are placed.
   struct Restrictions {
-    bool guarantee_pass = false;  // only those of the guarantee pass
+    bool guarantee_pass = false;  // only tasks of the guarantee pass
     CapacityClass capacity = CapacityClass::kAny;
-    bool keep_spread = false;  // only until one more would crowd the machine
+    bool avoid_crowding = false;  // stop before a task would crowd the machine
   };
 
-  std::vector<Job*> JobsForPass();
-  std::vector<Machine*> MachinesForPass(const std::vector<Job*>& jobs);
-  // Places tasks of the job on the best machines until none is left that fits.
+  std::vector<Job*> SelectJobsForPass();
+  std::vector<Machine*> SelectMachinesForPass(const std::vector<Job*>& jobs);
+  // Places tasks of the job, each time on the best candidate, until no
+  // candidate fits or the restrictions end it.
   void PlaceOnBestFits(Job* job, const std::vector<Machine*>& candidates,
                        const std::vector<const Job*>& in_deficit,
                        Restrictions restrictions, uint64_t term);
-  // Places tasks of the job on the machine until one of the two is exhausted or
-  // the restrictions end it. False where it could place none.
+  // Places tasks of the job on the machine until the job has no runnable task,
+  // the machine is full or the restrictions end it. False if it placed none.
   bool PlaceOn(Machine* machine, Job* job, const Restrictions& restrictions,
                uint64_t term);
   bool MayPlaceOn(const Machine& machine, const Job& job,
@@ -85,7 +84,7 @@
   GuaranteeDeficit deficit_;
   BinPacker packer_;
   GuaranteePreemption guarantee_preemption_;
-  uint32_t attempts_ = 0;  // of this process
+  uint32_t attempt_counter_ = 0;  // since the process started
 };
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/placement_spread.h
+++ b/src/core/scheduling/placement_spread.h
@@ -1,4 +1,5 @@
-// How placement asks for load spread without knowing its rules.
+// Interface through which placement uses load spread without depending on its
+// implementation.
 #pragma once
 
 #include <cstdint>
@@ -8,16 +9,17 @@
 
 namespace sorrelwood {
 
-// Decides among machines that the other rules of placement leave open, so that
-// load is spread (docs/load-spread.md).
+// Chooses among machines that the other placement rules allow, so that load is
+// spread over them (docs/load-spread.md).
 class PlacementSpread {
  public:
   virtual ~PlacementSpread() = default;
-  // Demand and capacity may have changed; called once before a pass.
+  // Adapts to the current demand and capacity. Called once before each pass.
   virtual void Update(double now) = 0;
-  // One more task of the job would crowd the machine: others go first.
+  // True if one more task of the job would take the machine beyond its load
+  // bounds; other machines are preferred then.
   virtual bool WouldCrowd(const Job& job, const Machine& machine) const = 0;
-  // Among machines that are equal otherwise the least goes first.
+  // Among machines that are otherwise equal the lowest value is preferred.
   virtual uint64_t TieBreak(const Job& job, const Machine& machine) const = 0;
 };
 
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -14,31 +14,31 @@
          spec.memory_gb <= memory_gb + kResourceRounding;
 }
 
-void Preemption::Room::Take(const JobSpec& spec) {
+void Preemption::Room::Allocate(const JobSpec& spec) {
   cpus -= spec.cpus;
   gpus -= spec.gpus;
   memory_gb -= spec.memory_gb;
 }
 
-void Preemption::Room::Give(const TaskAttempt& attempt) {
+void Preemption::Room::Release(const TaskAttempt& attempt) {
   cpus += attempt.cpus;
   gpus += attempt.gpus;
   memory_gb += attempt.memory_gb;
 }
 
-std::vector<Preemption::Room> Preemption::Rooms() const {
+std::vector<Preemption::Room> Preemption::CollectRooms() const {
   std::vector<Room> rooms;
   for (auto& [name, machine] : machines_->all()) {
     if (!machine->type || !placement_->eligibility().AcceptsTasks(*machine))
       continue;
     Room room{machine.get(), machine->cpus_free(), machine->gpus_free(),
               machine->memory_free()};
-    for (const auto& [key, attempt] : machine->attempts)
-      if (attempt.stop) room.Give(attempt);
+    for (const auto& [task_id, attempt] : machine->attempts)
+      if (attempt.stop) room.Release(attempt);
     rooms.push_back(room);
   }
-  // Beyond so many machines a sample has to do: each waiting replica looks at
-  // all rooms and at the tasks in them.
+  // A sample bounds the cost: each pending replica examines all rooms and the
+  // tasks in them.
   if (rooms.size() > kSampleMachines) {
     std::shuffle(rooms.begin(), rooms.end(), context_->rng);
     rooms.resize(kSampleMachines);
@@ -53,55 +53,57 @@
          spec.priority < job.spec().priority;
 }
 
-double Preemption::LostWork(const TaskAttempt& attempt) const {
+double Preemption::LostCoreSeconds(const TaskAttempt& attempt) const {
   const JobSpec& spec = attempt.record->spec;
-  const double ran =
+  const double ran_s =
       attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
-  return spec.cpus * (spec.checkpoint_s > 0 ? spec.save_s : ran);
+  return spec.cpus * (spec.checkpoint_s > 0 ? spec.save_s : ran_s);
 }
 
-uint32_t Preemption::MakeRoomUnderLimit(const Job& job, uint32_t waiting) {
+uint32_t Preemption::MakeRoomUnderQuota(const Job& job, uint32_t pending) {
   const JobSpec& spec = job.spec();
-  double limit = kNoLimit;
+  double cpu_quota = kNoLimit;
   for (const Team& team : settings_->teams)
-    if (team.name == spec.team) limit = team.cpus_max;
-  double left = limit - jobs_->UsageOf(spec.team).cpus;
-  if (waiting * spec.cpus <= left + kResourceRounding) return waiting;
+    if (team.name == spec.team) cpu_quota = team.cpus_max;
+  double cpus_left = cpu_quota - jobs_->UsageOf(spec.team).cpus;
+  if (pending * spec.cpus <= cpus_left + kResourceRounding) return pending;
   std::vector<std::pair<double, TaskAttempt*>> candidates;
   for (auto& [name, machine] : machines_->all()) {
-    for (auto& [key, attempt] : machine->attempts) {
+    for (auto& [task_id, attempt] : machine->attempts) {
       if (attempt.record->spec.team != spec.team) continue;
       if (attempt.stop)
-        left += attempt.cpus;
+        cpus_left += attempt.cpus;
       else if (MayStopFor(job, attempt))
-        candidates.emplace_back(LostWork(attempt), &attempt);
+        candidates.emplace_back(LostCoreSeconds(attempt), &attempt);
     }
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
-  for (const auto& [lost_work, attempt] : candidates) {
-    if (waiting * spec.cpus <= left + kResourceRounding) break;
+  for (const auto& [lost_core_s, attempt] : candidates) {
+    if (pending * spec.cpus <= cpus_left + kResourceRounding) break;
     StopWithCheckpoint(attempt);
-    left += attempt->cpus;
+    cpus_left += attempt->cpus;
   }
-  const double fit = std::floor(left / spec.cpus + kResourceRounding);
-  return static_cast<uint32_t>(std::clamp<double>(fit, 0, waiting));
+  const double tasks_that_fit =
+      std::floor(cpus_left / spec.cpus + kResourceRounding);
+  return static_cast<uint32_t>(std::clamp<double>(tasks_that_fit, 0, pending));
 }
 
-Preemption::Victims Preemption::Choose(const Job& job, const Room& room) const {
+Preemption::Victims Preemption::ChooseVictims(const Job& job,
+                                              const Room& room) const {
   std::vector<std::pair<double, TaskAttempt*>> candidates;
-  for (auto& [key, attempt] : room.machine->attempts)
+  for (auto& [task_id, attempt] : room.machine->attempts)
     if (MayStopFor(job, attempt))
-      candidates.emplace_back(LostWork(attempt), &attempt);
+      candidates.emplace_back(LostCoreSeconds(attempt), &attempt);
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& a, const auto& b) { return a.first < b.first; });
   Victims victims;
   Room after = room;
-  for (const auto& [lost_work, attempt] : candidates) {
+  for (const auto& [lost_core_s, attempt] : candidates) {
     if (after.Fits(job.spec())) break;
-    after.Give(*attempt);
+    after.Release(*attempt);
     victims.attempts.push_back(attempt);
-    victims.lost_work += lost_work;
+    victims.lost_core_s += lost_core_s;
   }
   if (!after.Fits(job.spec())) victims.attempts.clear();
   return victims;
@@ -109,42 +111,44 @@
 
 void Preemption::MakeRoomFor(const Job& job, std::vector<Room>* rooms) {
   const JobSpec& spec = job.spec();
-  uint32_t waiting = placement_->admission().MayStartTask(job)
-                         ? job.RunnableTasks(context_->now)
+  uint32_t pending = placement_->admission().MayStartTask(job)
+                         ? job.CountRunnableTasks(context_->now)
                          : 0;
-  if (spec.cpus > 0) waiting = MakeRoomUnderLimit(job, waiting);
-  if (waiting == 0) return;
-  // Those that were stopped for the limit are room by now.
-  if (rooms->empty()) *rooms = Rooms();
-  std::map<std::string, uint32_t> planned;  // by zone
-  const auto allowed = [&](const Room& room) {
+  if (spec.cpus > 0) pending = MakeRoomUnderQuota(job, pending);
+  if (pending == 0) return;
+  // Collected after the tasks stopped for the quota, so that their capacity
+  // counts as coming free.
+  if (rooms->empty()) *rooms = CollectRooms();
+  std::map<std::string, uint32_t> planned_in_zone;
+  const auto is_allowed = [&](const Room& room) {
     return placement_->eligibility().IsEligible(job, *room.machine) &&
-           SpreadAllows(job, room.machine->zone, planned[room.machine->zone]);
+           ZoneSpreadAllows(job, room.machine->zone,
+                            planned_in_zone[room.machine->zone]);
   };
-  for (uint32_t i = 0; i < waiting; ++i) {
-    Room* best = nullptr;
-    Victims least;
+  for (uint32_t i = 0; i < pending; ++i) {
+    Room* best_room = nullptr;
+    Victims best_victims;
     for (Room& room : *rooms) {
-      if (!allowed(room)) continue;
+      if (!is_allowed(room)) continue;
       if (room.Fits(spec)) {
-        best = &room;
-        least = Victims();
+        best_room = &room;
+        best_victims = Victims();
         break;
       }
-      Victims victims = Choose(job, room);
+      Victims victims = ChooseVictims(job, room);
       if (victims.attempts.empty() ||
-          (best && victims.lost_work >= least.lost_work))
+          (best_room && victims.lost_core_s >= best_victims.lost_core_s))
         continue;
-      best = &room;
-      least = std::move(victims);
+      best_room = &room;
+      best_victims = std::move(victims);
     }
-    if (!best) return;
-    for (TaskAttempt* attempt : least.attempts) {
+    if (!best_room) return;
+    for (TaskAttempt* attempt : best_victims.attempts) {
       StopWithCheckpoint(attempt);
-      best->Give(*attempt);
+      best_room->Release(*attempt);
     }
-    best->Take(spec);
-    ++planned[best->machine->zone];
+    best_room->Allocate(spec);
+    ++planned_in_zone[best_room->machine->zone];
   }
 }
 
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -1,4 +1,5 @@
-// Which running tasks are stopped to make room for others.
+// Preemption for services: stops running tasks of lower priority to make room
+// for pending replicas.
 #pragma once
 
 #include <cstdint>
@@ -23,37 +24,42 @@
         placement_(placement),
         settings_(settings) {}
 
-  // Stops tasks of lower priority where replicas of services wait for room, as
-  // few as it takes. Room that is coming free already is counted first.
+  // Stops as many tasks of lower priority as the pending replicas need, those
+  // that lose the least work first. Capacity that is free or coming free is
+  // used before tasks are stopped.
   void PreemptForServices();
 
  private:
-  // What a machine has free once its tasks that are told to stop have ended.
+  // The capacity that is free on a machine once the tasks that are being
+  // stopped have ended.
   struct Room {
     Machine* machine = nullptr;
     double cpus = 0, gpus = 0, memory_gb = 0;
     bool Fits(const JobSpec& spec) const;
-    void Take(const JobSpec& spec);
-    void Give(const TaskAttempt& attempt);
+    void Allocate(const JobSpec& spec);
+    void Release(const TaskAttempt& attempt);
   };
-  // Tasks to stop on one machine, and the core-seconds of work that it costs.
+  // Tasks to stop on one machine.
   struct Victims {
     std::vector<TaskAttempt*> attempts;
-    double lost_work = 0;
+    double lost_core_s = 0;  // work lost by stopping them (core-seconds)
   };
 
-  std::vector<Room> Rooms() const;
+  std::vector<Room> CollectRooms() const;
+  // Stops tasks until the pending replicas of the job fit. `rooms` is collected
+  // when first needed and shared by all jobs of one run.
   void MakeRoomFor(const Job& job, std::vector<Room>* rooms);
-  // The least costly tasks whose end would make a task of the job fit; none
-  // where that can't be.
-  Victims Choose(const Job& job, const Room& room) const;
-  // How many of `waiting` the team's limit lets run beside what it runs; where
-  // that is too few, tasks of lower priority of the same team are stopped.
-  uint32_t MakeRoomUnderLimit(const Job& job, uint32_t waiting);
-  // It may be stopped for a task of the job.
+  // Returns the tasks with the least lost work whose stop would make a task of
+  // the job fit; no tasks if it can't fit.
+  Victims ChooseVictims(const Job& job, const Room& room) const;
+  // Stops lower-priority tasks of the same team if the team's CPU quota is too
+  // small to run `pending` further tasks of the job. Returns how many of them
+  // the quota allows then.
+  uint32_t MakeRoomUnderQuota(const Job& job, uint32_t pending);
+  // True if the attempt may be stopped for a task of the job.
   static bool MayStopFor(const Job& job, const TaskAttempt& attempt);
-  // The core-seconds of work that stopping it costs.
-  double LostWork(const TaskAttempt& attempt) const;
+  // Returns the work lost by stopping the attempt (core-seconds).
+  double LostCoreSeconds(const TaskAttempt& attempt) const;
 
   Context* context_;
   JobTable* jobs_;
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -7,7 +7,7 @@
 
 namespace sorrelwood {
 
-bool ReplicaManager::BecameStable(Job* job, uint32_t task,
+bool ReplicaManager::MarkIfStable(Job* job, uint32_t task,
                                   TaskAttempt* attempt) {
   if (attempt->stable || attempt->running_since == 0 ||
       context_->now - attempt->running_since < kReplicaStableS)
@@ -18,7 +18,7 @@
   return true;
 }
 
-void ReplicaManager::Ended(Job* job, uint32_t task, double ran_s) {
+void ReplicaManager::OnReplicaEnded(Job* job, uint32_t task, double ran_s) {
   ++restarted_;
   if (ran_s >= kReplicaStableS) {
     job->replicas.restarts.erase(task);
@@ -26,19 +26,20 @@
     return;
   }
   ReplicaRestarts& restarts = job->replicas.restarts[task];
-  ++restarts.quick_ends;
-  if (restarts.quick_ends == 1) return;
-  const int doublings = std::min(restarts.quick_ends - 1, 10);
-  const double pause = std::min(kJobRetryPauseS * std::pow(2.0, doublings - 1),
-                                kJobRetryPauseMaxS);
-  restarts.not_before = context_->now + pause;
+  ++restarts.early_ends;
+  if (restarts.early_ends == 1) return;
+  const int repeats =
+      std::min(restarts.early_ends - 1, kJobRetryPauseMaxDoublings);
+  const double pause_s = std::min(kJobRetryPauseS * std::pow(2.0, repeats - 1),
+                                  kJobRetryPauseMaxS);
+  restarts.not_before = context_->now + pause_s;
 }
 
 bool ReplicaManager::HasPlaceElsewhere(const Job& job,
                                        const Machine& machine) const {
   return std::any_of(machines_->all().begin(), machines_->all().end(),
-                     [&](const auto& item) {
-                       const Machine& other = *item.second;
+                     [&](const auto& entry) {
+                       const Machine& other = *entry.second;
                        return &other != &machine &&
                               placement_->eligibility().AcceptsTasks(other) &&
                               other.Fits(job.spec()) &&
@@ -47,32 +48,34 @@
                      });
 }
 
-void ReplicaManager::LeaveDepartingMachines() {
+void ReplicaManager::StopReplicasOnDepartingMachines() {
   for (auto& [name, machine] : machines_->all()) {
     if (machine->lifecycle.preemption_deadline == 0) continue;
-    const double left = machine->lifecycle.preemption_deadline - context_->now;
-    for (auto& [key, attempt] : machine->attempts) {
+    const double left_s =
+        machine->lifecycle.preemption_deadline - context_->now;
+    for (auto& [task_id, attempt] : machine->attempts) {
       if (attempt.stop || !attempt.job_active ||
           !attempt.record->spec.IsService())
         continue;
-      const Job* job = jobs_->Find(key.job);
+      const Job* job = jobs_->Find(task_id.job);
       if (!job) continue;
-      if (left > kReplicaLastMoveS && !HasPlaceElsewhere(*job, *machine))
+      if (left_s > kReplicaLastMoveS && !HasPlaceElsewhere(*job, *machine))
         continue;
       attempt.stop = true;
-      attempt.stop_grace_s = std::min(job->spec().save_s, std::max(0.0, left));
+      attempt.stop_grace_s =
+          std::min(job->spec().save_s, std::max(0.0, left_s));
     }
   }
 }
 
-void ReplicaManager::CountTime() {
-  // A gap is no leader's time.
-  const double passed = context_->now - counted_at_;
-  counted_at_ = context_->now;
-  if (passed <= 0 || passed > kProcessPauseThresholdS) return;
+void ReplicaManager::AccumulateMissingTime() {
+  // A long gap is not counted: the process was paused or did not lead.
+  const double passed_s = context_->now - last_accumulated_at_;
+  last_accumulated_at_ = context_->now;
+  if (passed_s <= 0 || passed_s > kProcessPauseThresholdS) return;
   const Statistics statistics = CollectStatistics();
-  without_s_ +=
-      passed * static_cast<double>(statistics.wanted - statistics.running);
+  missing_replica_s_ +=
+      passed_s * static_cast<double>(statistics.wanted - statistics.running);
 }
 
 ReplicaManager::Statistics ReplicaManager::CollectStatistics() const {
@@ -82,7 +85,7 @@
     statistics.running += machines_->RunningReplicas(*job);
   }
   statistics.restarted = restarted_;
-  statistics.without_s = without_s_;
+  statistics.missing_replica_s = missing_replica_s_;
   return statistics;
 }
 
--- a/src/core/scheduling/replica_manager.h
+++ b/src/core/scheduling/replica_manager.h
@@ -1,5 +1,5 @@
-// Replicas: the tasks of services, which run until their job is cancelled. One
-// that ends, for whatever cause, runs again elsewhere as a new attempt.
+// Manages replicas, the tasks of services, which run until their job is
+// cancelled. A replica that ends for any reason is restarted as a new attempt.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +20,27 @@
         machines_(machines),
         placement_(placement) {}
 
-  // The machine's report shows the replica running. True when it has just run
-  // long enough to show that neither job nor machine is at fault.
-  bool BecameStable(Job* job, uint32_t task, TaskAttempt* attempt);
-  // The replica ended by itself, or was refused, after `ran_s` of running. It
-  // starts again at once the first time, then at a falling rate.
-  void Ended(Job* job, uint32_t task, double ran_s);
-
-  // Stops replicas on machines that are about to go: as soon as there is a
-  // place for them elsewhere, or when there is no more time to wait for one.
-  void LeaveDepartingMachines();
-  // Counts the time without replicas; called at every tick of a leader.
-  void CountTime();
+  // Called when the machine reports the replica as running. Marks the attempt
+  // as stable once it has run for kReplicaStableS, which shows that neither the
+  // job nor the machine is at fault. True only for the call that marks it.
+  bool MarkIfStable(Job* job, uint32_t task, TaskAttempt* attempt);
+  // Called when the replica ended by itself after running for `ran_s`, or was
+  // refused by the machine. The first early end allows an immediate restart;
+  // further ones in a row are followed by pauses of growing length.
+  void OnReplicaEnded(Job* job, uint32_t task, double ran_s);
+
+  // Stops replicas on machines with a preemption notice: as soon as another
+  // machine has a place for them, or when only kReplicaLastMoveS are left.
+  void StopReplicasOnDepartingMachines();
+  // Adds up the time that wanted replicas do not run. Called at every tick of
+  // the leader.
+  void AccumulateMissingTime();
 
   struct Statistics {
     size_t wanted = 0, running = 0;
-    uint64_t restarted = 0;  // since this process began to lead
-    double without_s = 0;    // seconds that wanted replicas did not run
+    uint64_t restarted = 0;  // since this process started to lead
+    // Time (s) that wanted replicas did not run, summed over the replicas.
+    double missing_replica_s = 0;
   };
   Statistics CollectStatistics() const;
 
@@ -48,7 +52,7 @@
   MachineTable* machines_;
   const Placement* placement_;
   uint64_t restarted_ = 0;
-  double without_s_ = 0, counted_at_ = 0;
+  double missing_replica_s_ = 0, last_accumulated_at_ = 0;
 };
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/slots.h
+++ b/src/core/scheduling/slots.h
@@ -1,4 +1,4 @@
-// Slots: how many tasks of the usual job of a class a machine has room for, by
+// Slots: the number of tasks of a class's typical job that fit on a machine, by
 // cores and memory. All counts are whole numbers.
 #pragma once
 
@@ -9,23 +9,23 @@
 
 namespace sorrelwood {
 
-// Slots in what is free on the machine; 0 where the class is not allowed or
-// that is to be drained.
+// Returns the slots in the free capacity of the machine. 0 if the class doesn't
+// allow the machine, or if the machine is chosen for draining.
 double FreeSlots(const Machine& machine, const ClassProfile& profile);
-// The same once a task of `task` runs there too.
-double FreeSlotsBeside(const Machine& machine, const ClassProfile& profile,
-                       const JobSpec& task);
-// The same if the machine held no tasks.
+// The free slots after placing one more task, of specification `task`.
+double FreeSlotsAfterPlacing(const Machine& machine,
+                             const ClassProfile& profile, const JobSpec& task);
+// The free slots if the machine ran no tasks.
 double SlotsWhenEmpty(const Machine& machine, const ClassProfile& profile);
-// The same without the tasks that may be preempted for the class: those of job
-// arrays of lower priority.
+// The free slots if all tasks that the class may preempt were stopped: those of
+// job arrays of lower priority.
 double PreemptibleSlots(const Machine& machine, const ClassProfile& profile);
 
-// Slots on an empty machine of the type.
+// Returns the slots on an empty machine of the type.
 double SlotsOnType(const MachineType& type, const ClassProfile& profile);
 
-// Slots in one zone that count towards `slots` in all: a job that is spread
-// can't have more than half of its tasks in one zone.
+// Returns how many slots in one zone count towards a total of `slots`: a job
+// with `spread` may have at most half of its tasks in one zone.
 double SlotsPerZone(const ClassProfile& profile, double slots);
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/task_stop.h
+++ b/src/core/scheduling/task_stop.h
@@ -1,17 +1,18 @@
-// When a running task may be stopped for the sake of others, and how it is told
-// to.
+// When a running task may be stopped to make room for others, and how it is
+// stopped.
 #pragma once
 
 #include "core/machines/machine_table.h"
 
 namespace sorrelwood {
 
-// The task has run for kMinRunBeforeMoveS, can save its progress soon, and is
-// not being stopped already: stopping it loses little.
+// True if stopping the task loses little work: it has run for more than
+// kMinRunBeforeMoveS, can save a checkpoint within kMaxCheckpointSaveS and
+// isn't being stopped already.
 bool IsPreemptible(const TaskAttempt& attempt, double now);
 
-// Tells the task to stop. One that saves checkpoints has the time to save one
-// more, and kSaveGraceMarginS; any other is killed.
+// Requests the stop of the task. A task with checkpoints gets the time to save
+// another one plus kSaveGraceMarginS; any other task is killed immediately.
 void StopWithCheckpoint(TaskAttempt* attempt);
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/wait_predictor.cc
+++ b/src/core/scheduling/wait_predictor.cc
@@ -4,14 +4,21 @@
 #include <cmath>
 
 namespace sorrelwood {
+namespace {
+
+// Least reduction of the squared error (s^2) by a split. Excludes reductions
+// that are rounding errors.
+constexpr double kMinSplitGain = 1e-9;
+
+}  // namespace
 
 void WaitPredictor::Learn(const FeatureVector& features, double wait_s) {
   if (auto predicted = Predict(features)) {
-    error_sum_ += std::abs(*predicted - wait_s);
-    ++predicted_;
-    const bool said_short = *predicted < policy_.wait_limit_s;
+    error_sum_s_ += std::abs(*predicted - wait_s);
+    ++prediction_count_;
+    const bool predicted_short = *predicted < policy_.wait_limit_s;
     const bool was_short = wait_s < policy_.wait_limit_s;
-    if (said_short)
+    if (predicted_short)
       ++(was_short ? true_short_ : false_short_);
     else
       ++(was_short ? false_long_ : true_long_);
@@ -27,9 +34,9 @@
   std::vector<Tree> trees;
   for (int i = 0; i < policy_.tree_count; ++i) {
     std::vector<const Sample*> drawn;
-    std::uniform_int_distribution<size_t> pick(0, samples_.size() - 1);
+    std::uniform_int_distribution<size_t> draw_index(0, samples_.size() - 1);
     for (size_t n = 0; n < samples_.size(); ++n)
-      drawn.push_back(&samples_[pick(rng_)]);
+      drawn.push_back(&samples_[draw_index(rng_)]);
     Tree tree;
     Grow(&tree, drawn, 0, drawn.size(), 0);
     trees.push_back(std::move(tree));
@@ -39,58 +46,65 @@
 
 int WaitPredictor::Grow(Tree* tree, std::vector<const Sample*>& samples,
                         size_t begin, size_t end, int depth) {
-  const int self = static_cast<int>(tree->size());
+  const int node_index = static_cast<int>(tree->size());
   tree->emplace_back();
   double sum = 0;
   for (size_t i = begin; i < end; ++i) sum += samples[i]->wait_s;
   const double count = static_cast<double>(end - begin);
-  (*tree)[static_cast<size_t>(self)].value = sum / count;
-  const size_t leaf = static_cast<size_t>(policy_.tree_min_leaf_samples);
-  if (depth >= policy_.tree_depth || end - begin < 2 * leaf) return self;
+  (*tree)[static_cast<size_t>(node_index)].value = sum / count;
+  const size_t min_leaf_samples =
+      static_cast<size_t>(policy_.tree_min_leaf_samples);
+  if (depth >= policy_.tree_depth || end - begin < 2 * min_leaf_samples)
+    return node_index;
 
-  // The split that leaves the least squared error.
+  // Finds the split that reduces the squared error most.
   int best_feature = -1;
-  double best_gain = 1e-9, best_threshold = 0;
-  for (size_t f = 0; f < kWaitFeatureCount; ++f) {
+  double best_gain = kMinSplitGain, best_threshold = 0;
+  for (size_t feature = 0; feature < kWaitFeatureCount; ++feature) {
     std::sort(samples.begin() + static_cast<ptrdiff_t>(begin),
               samples.begin() + static_cast<ptrdiff_t>(end),
-              [f](const Sample* a, const Sample* b) {
-                return a->features[f] < b->features[f];
+              [feature](const Sample* a, const Sample* b) {
+                return a->features[feature] < b->features[feature];
               });
-    double left = 0;
+    double left_sum = 0;
     for (size_t i = begin; i + 1 < end; ++i) {
-      left += samples[i]->wait_s;
-      const size_t n = i + 1 - begin;
-      if (n < leaf || end - begin - n < leaf) continue;
-      const double here = samples[i]->features[f];
-      const double next = samples[i + 1]->features[f];
-      if (here == next) continue;
-      const double ln = static_cast<double>(n), rn = count - ln;
-      const double right = sum - left;
-      const double gain =
-          left * left / ln + right * right / rn - sum * sum / count;
+      left_sum += samples[i]->wait_s;
+      const size_t left_size = i + 1 - begin;
+      if (left_size < min_leaf_samples ||
+          end - begin - left_size < min_leaf_samples)
+        continue;
+      const double value = samples[i]->features[feature];
+      const double next_value = samples[i + 1]->features[feature];
+      if (value == next_value) continue;
+      const double left_count = static_cast<double>(left_size);
+      const double right_count = count - left_count;
+      const double right_sum = sum - left_sum;
+      const double gain = left_sum * left_sum / left_count +
+                          right_sum * right_sum / right_count -
+                          sum * sum / count;
       if (gain > best_gain) {
         best_gain = gain;
-        best_feature = static_cast<int>(f);
-        best_threshold = (here + next) / 2;
+        best_feature = static_cast<int>(feature);
+        best_threshold = (value + next_value) / 2;
       }
     }
   }
-  if (best_feature < 0) return self;
-  const size_t f = static_cast<size_t>(best_feature);
+  if (best_feature < 0) return node_index;
+  const size_t feature = static_cast<size_t>(best_feature);
   const auto middle = std::partition(
       samples.begin() + static_cast<ptrdiff_t>(begin),
-      samples.begin() + static_cast<ptrdiff_t>(end),
-      [&](const Sample* s) { return s->features[f] < best_threshold; });
+      samples.begin() + static_cast<ptrdiff_t>(end), [&](const Sample* sample) {
+        return sample->features[feature] < best_threshold;
+      });
   const size_t split = static_cast<size_t>(middle - samples.begin());
-  const int left = Grow(tree, samples, begin, split, depth + 1);
-  const int right = Grow(tree, samples, split, end, depth + 1);
-  Node& node = (*tree)[static_cast<size_t>(self)];
+  const int left_child = Grow(tree, samples, begin, split, depth + 1);
+  const int right_child = Grow(tree, samples, split, end, depth + 1);
+  Node& node = (*tree)[static_cast<size_t>(node_index)];
   node.feature = best_feature;
   node.threshold = best_threshold;
-  node.left = left;
-  node.right = right;
-  return self;
+  node.left = left_child;
+  node.right = right_child;
+  return node_index;
 }
 
 std::optional<double> WaitPredictor::Predict(
@@ -98,22 +112,27 @@
   if (trees_.empty()) return std::nullopt;
   double sum = 0;
   for (const Tree& tree : trees_) {
-    size_t at = 0;
-    while (tree[at].feature >= 0) {
-      const double value = features[static_cast<size_t>(tree[at].feature)];
-      at = static_cast<size_t>(value < tree[at].threshold ? tree[at].left
-                                                          : tree[at].right);
+    size_t node_index = 0;
+    while (tree[node_index].feature >= 0) {
+      const double value =
+          features[static_cast<size_t>(tree[node_index].feature)];
+      node_index = static_cast<size_t>(value < tree[node_index].threshold
+                                           ? tree[node_index].left
+                                           : tree[node_index].right);
     }
-    sum += tree[at].value;
+    sum += tree[node_index].value;
   }
   return sum / static_cast<double>(trees_.size());
 }
 
-double WaitPredictor::mean_error_s() const {
-  return predicted_ == 0 ? 0 : error_sum_ / static_cast<double>(predicted_);
+double WaitPredictor::mean_absolute_error_s() const {
+  return prediction_count_ == 0
+             ? 0
+             : error_sum_s_ / static_cast<double>(prediction_count_);
 }
 
-double WaitPredictor::matthews() const {
+double WaitPredictor::matthews_correlation() const {
+  // True and false positives and negatives of the prediction "short".
   const double tp = static_cast<double>(true_short_),
                tn = static_cast<double>(true_long_),
                fp = static_cast<double>(false_short_),
--- a/src/core/scheduling/wait_predictor.h
+++ b/src/core/scheduling/wait_predictor.h
@@ -1,6 +1,6 @@
-// Predicts how long a job would wait for owned room, from the state of the
-// cluster (the paper's Table 1): shallow regression trees, each grown on a
-// sample of the waits seen so far, averaged.
+// Predicts how long a job would wait for owned capacity, from the state of the
+// cluster (see WaitFeatures). The prediction is the mean of shallow regression
+// trees, each grown on a random sample of the observed waits.
 #pragma once
 
 #include <deque>
@@ -18,18 +18,23 @@
   WaitPredictor(const PolicySettings& policy, uint64_t seed)
       : policy_(policy), rng_(seed) {}
 
+  // Adds an observed wait to the samples, after comparing it with the
+  // prediction for the error statistics.
   void Learn(const FeatureVector& features, double wait_s);
-  // Grows the trees anew from the samples kept; nothing without enough.
+  // Regrows all trees from the stored samples. Does nothing with fewer samples
+  // than two leaves need.
   void Fit();
   bool fitted() const { return !trees_.empty(); }
-  // Nothing before the first fit.
+  // Returns the predicted wait (s); nothing before the first successful fit.
   std::optional<double> Predict(const FeatureVector& features) const;
 
-  size_t samples() const { return samples_.size(); }
-  // Of the predictions made for samples before they were learnt.
-  double mean_error_s() const;
-  // Matthews correlation of "waits less than `limit_s`", predicted and seen.
-  double matthews() const;
+  size_t sample_count() const { return samples_.size(); }
+  // Mean absolute error (s) of the predictions made for samples before they
+  // were learnt.
+  double mean_absolute_error_s() const;
+  // Matthews correlation of predicted and observed short waits, which are those
+  // below PolicySettings::wait_limit_s.
+  double matthews_correlation() const;
 
  private:
   struct Sample {
@@ -37,12 +42,15 @@
     double wait_s = 0;
   };
   struct Node {
-    int feature = -1;  // -1: a leaf
+    int feature = -1;  // index into FeatureVector; -1 for a leaf
+    // Values below the threshold go left. `value` is the mean wait (s).
     double threshold = 0, value = 0;
-    int left = 0, right = 0;
+    int left = 0, right = 0;  // indices of child nodes; unused in a leaf
   };
   using Tree = std::vector<Node>;
 
+  // Adds to the tree a node for samples [begin, end), which it reorders, and
+  // its descendants. Returns the index of the node.
   int Grow(Tree* tree, std::vector<const Sample*>& samples, size_t begin,
            size_t end, int depth);
 
@@ -50,8 +58,10 @@
   std::mt19937_64 rng_;
   std::deque<Sample> samples_;
   std::vector<Tree> trees_;
-  double error_sum_ = 0;
-  uint64_t predicted_ = 0;
+  double error_sum_s_ = 0;
+  uint64_t prediction_count_ = 0;  // predictions compared with observed waits
+  // Those predictions by outcome: whether a short or a long wait was predicted,
+  // and whether that was right.
   uint64_t true_short_ = 0, true_long_ = 0, false_short_ = 0, false_long_ = 0;
 };
 
--- a/src/core/scheduling/waiting_policy.h
+++ b/src/core/scheduling/waiting_policy.h
@@ -1,6 +1,9 @@
-// The waiting policy: a task that has run speculatively on a rented machine for
-// t is killed; it waits for owned room if its predicted wait is under b, else
-// it runs rented to the end. One that has waited b long is rented likewise.
+// The waiting policy decides which tasks run on rented machines. A task may
+// start there speculatively. One that has run for t (speculation_limit_s) is
+// stopped: if its predicted wait for owned capacity is shorter than b
+// (wait_limit_s), it is requeued for owned capacity, otherwise it runs on a
+// rented machine to its end. A task that has waited for b also runs on a rented
+// machine to its end.
 #pragma once
 
 #include "core/engine/context.h"
@@ -20,25 +23,30 @@
         policy_(policy),
         predictor_(policy, seed) {}
 
-  // Judges the tasks that have reached t or b, and refits when it is time.
+  // Refits the predictor when the fit interval has passed, and decides on the
+  // tasks that have reached one of the two limits.
   void Tick();
-  // A task of the job starts on owned room: its wait is a sample.
-  void LearnStart(Job* job, const Machine& machine);
+  // Called when a task of the job starts. The first start on an owned machine
+  // gives the predictor a sample of the job's wait.
+  void RecordWaitSample(Job* job, const Machine& machine);
 
   const WaitPredictor& predictor() const { return predictor_; }
-  uint64_t killed() const { return killed_; }
-  uint64_t rented() const { return rented_; }
+  // Tasks stopped at the speculation limit.
+  uint64_t speculative_kills() const { return speculative_kills_; }
+  // Tasks sent to rented machines because they reached the wait limit.
+  uint64_t rented_to_end() const { return rented_to_end_; }
 
  private:
-  WaitFeatures Observe(double cpus);
+  // Returns the state of the cluster for a task that asks for `task_cpus`.
+  WaitFeatures ObserveCluster(double task_cpus);
 
   Context* context_;
   JobTable* jobs_;
   MachineTable* machines_;
   PolicySettings policy_;
   WaitPredictor predictor_;
-  double next_fit_ = -1;
-  uint64_t killed_ = 0, rented_ = 0;
+  double next_fit_at_ = -1;  // -1 before the first tick
+  uint64_t speculative_kills_ = 0, rented_to_end_ = 0;
 };
 
 }  // namespace sorrelwood
--- a/src/core/workers/attempt_tracker.cc
+++ b/src/core/workers/attempt_tracker.cc
@@ -17,7 +17,7 @@
   if (machine->attempts.count(id) > 0) return;
   if (!WithdrawPlannedElsewhere(*job, id)) return;
   TaskAttempt attempt = MakeAdopted(*job, *machine, task);
-  jobs_->Place(job, task.task, machine->name, machine->zone);
+  jobs_->MarkPlaced(job, task.task, machine->name, machine->zone);
   machine->AddAttempt(id, std::move(attempt));
   machine->TouchImage(job->spec().image);
 }
@@ -61,7 +61,7 @@
                             -attempt.gpus);
     return;
   }
-  jobs_->Unplace(job, id.task, machine->zone);
+  jobs_->MarkUnplaced(job, id.task, machine->zone);
   rebalancer_->Released(job, id.task, election_->term());
 }
 
--- a/src/core/workers/failure_tracker.cc
+++ b/src/core/workers/failure_tracker.cc
@@ -16,13 +16,13 @@
         {{"job", job->id()}, {"task", task}, {"machine", machine->name}});
   job->failures.last_error_at = context_->now;
   const bool first_on_machine =
-      job->failures.machines.insert(machine->name).second;
+      job->failures.machines_failed_on.insert(machine->name).second;
   if (job->failing() && context_->now >= job->failures.retry_at) BackOff(job);
   if (first_on_machine && job->broken() &&
-      job->failures.machines.size() == kBrokenJobMachines) {
+      job->failures.machines_failed_on.size() == kBrokenJobMachines) {
     context_->Info("job fails on every machine", {{"job", job->id()}});
     // Machines that were quarantined because of this job leave quarantine.
-    ReassessMachines(job->failures.machines);
+    ReassessMachines(job->failures.machines_failed_on);
   }
   // The task itself is at fault when it keeps failing while others succeed.
   if (job_succeeds && ++job->failures.task_errors[task] >= kBrokenTaskErrors)
@@ -36,7 +36,7 @@
 // One pause for each round of retries, however many tasks of a round fail.
 void FailureTracker::BackOff(Job* job) const {
   const int doublings =
-      std::min(++job->failures.rounds, kJobRetryPauseMaxDoublings);
+      std::min(++job->failures.failed_rounds, kJobRetryPauseMaxDoublings);
   const double pause = kJobRetryPauseS * std::pow(2.0, doublings);
   job->failures.retry_at = context_->now + std::min(pause, kJobRetryPauseMaxS);
 }
@@ -48,8 +48,8 @@
 
 void FailureTracker::OnTaskSucceeded(Job* job) {
   const std::set<std::string> failed_on =
-      std::exchange(job->failures.machines, {});
-  job->failures.rounds = 0;
+      std::exchange(job->failures.machines_failed_on, {});
+  job->failures.failed_rounds = 0;
   job->failures.retry_at = 0;
   ReassessMachines(failed_on);
 }
--- a/src/core/workers/preemption_notices.cc
+++ b/src/core/workers/preemption_notices.cc
@@ -27,7 +27,7 @@
                                          double left_s) const {
   if (attempt.running_since <= 0) return false;
   const double ran_s = context_->now - attempt.running_since;
-  return jobs_->Estimate(job.spec()) - ran_s <
+  return jobs_->EstimateRunTime(job.spec()) - ran_s <
          left_s * kEndsBeforePreemptionShare;
 }
 
--- a/src/core/workers/task_outcomes.cc
+++ b/src/core/workers/task_outcomes.cc
@@ -30,7 +30,7 @@
     attempts_->Remove(machine, machine->attempts.find({task.job, task.task}));
   if (ended.tracked && is_service && !ended.told_to_stop &&
       task.reason != ExitReason::kStopped)
-    replicas_->Ended(job, task.task, ended.ran_s);
+    replicas_->OnReplicaEnded(job, task.task, ended.ran_s);
   switch (task.reason) {
     case ExitReason::kDone: OnDone(machine, job, task, ended.ran_s); return;
     case ExitReason::kError: {
@@ -96,7 +96,7 @@
                                 const EndedAttempt& ended) const {
   if (!job->progress.pending.Contains(task)) return;
   if (ended.requeue_for_baseline)
-    job->speculation.waiting_since[task] = context_->now;
+    job->speculation.waiting_for_owned_since[task] = context_->now;
   if (ended.requeue_on_rented && !job->speculation.run_on_rented.Contains(task))
     job->speculation.run_on_rented.Add(task);
 }
--- a/src/core/workers/task_status_handler.cc
+++ b/src/core/workers/task_status_handler.cc
@@ -32,7 +32,7 @@
   attempt->state = task.state;
   if (!attempt->record->spec.IsService()) return;
   Job* job = jobs_->Find(task.job);
-  if (!job || !replicas_->BecameStable(job, task.task, attempt)) return;
+  if (!job || !replicas_->MarkIfStable(job, task.task, attempt)) return;
   failures_->OnTaskSucceeded(machine);
   failures_->OnTaskSucceeded(job);
 }
@@ -45,7 +45,8 @@
     context_->Debug(
         "task running",
         {{"job", task.job}, {"task", task.task}, {"machine", machine->name}});
-  if (Job* job = jobs_->Find(task.job)) waiting_->LearnStart(job, *machine);
+  if (Job* job = jobs_->Find(task.job))
+    waiting_->RecordWaitSample(job, *machine);
 }
 
 }  // namespace sorrelwood
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -73,7 +73,7 @@
   Set("replicas_wanted", statistics.replicas.wanted);
   Set("replicas_running", statistics.replicas.running);
   Set("replicas_restarted", statistics.replicas.restarted);
-  Set("replica_seconds_without", statistics.replicas.without_s);
+  Set("replica_seconds_without", statistics.replicas.missing_replica_s);
 }
 
 void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -43,7 +43,7 @@
       TaskAttempt attempt;
       attempt.cpus = 1;
       attempt.record = record;
-      jobs_.Place(job, task, machine->name, machine->zone);
+      jobs_.MarkPlaced(job, task, machine->name, machine->zone);
       machine->AddAttempt({record->spec.id, task}, attempt);
     }
     return job;
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -129,9 +129,9 @@
 TEST(Estimates, FollowWhatIsSeen) {
   JobTable jobs;
   const auto job = NewJob("j", "a", Priority::kLow, 1, 0);
-  EXPECT_DOUBLE_EQ(jobs.Estimate(job->spec), 10);
+  EXPECT_DOUBLE_EQ(jobs.EstimateRunTime(job->spec), 10);
   for (int i = 0; i < 500; ++i) jobs.LearnRunTime(job->spec, 20);
-  EXPECT_NEAR(jobs.Estimate(job->spec), 20, 0.5);
+  EXPECT_NEAR(jobs.EstimateRunTime(job->spec), 20, 0.5);
 }
 
 TEST(Predictor, LearnsAKnownAnswer) {
@@ -159,9 +159,9 @@
     predictor.Fit();
     noise.Fit();
   }
-  EXPECT_LT(predictor.mean_error_s(), 8);
-  EXPECT_GT(predictor.matthews(), 0.8);
-  EXPECT_LT(std::abs(noise.matthews()), 0.3);
+  EXPECT_LT(predictor.mean_absolute_error_s(), 8);
+  EXPECT_GT(predictor.matthews_correlation(), 0.8);
+  EXPECT_LT(std::abs(noise.matthews_correlation()), 0.3);
 }
 
 TEST(Predictor, IsDeterministicForASeed) {
