--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -81,7 +81,7 @@
 
  private:
   JobMap jobs_;
-  Job* last_found_ = nullptr;  // cache; a machine runs tasks of few jobs
+  Job* last_found_ = nullptr;  // cache: a machine's tasks are of few jobs
   JobQueue queue_;
   TeamUsageTable usage_;
   RunTimeEstimator run_times_;
--- a/src/core/jobs/wait_features.h
+++ b/src/core/jobs/wait_features.h
@@ -16,9 +16,8 @@
   double running_mean_cpus = 0;   // mean CPUs of a running task
   double running_mean_age_s = 0;  // mean time since a running task started
   double waiting_mean_cpus = 0;   // mean CPUs of a pending task
-  double waiting_mean_age_s =
-      0;            // mean time since a pending task's job arrived
-  double cpus = 0;  // CPUs that a task of the new job asks for
+  double waiting_mean_age_s = 0;  // mean time since their jobs arrived
+  double cpus = 0;                // CPUs that a task of the new job asks for
 };
 
 inline constexpr size_t kWaitFeatureCount = 9;
