--- a/src/core/controller/scheduler_statistics.cc
+++ b/src/core/controller/scheduler_statistics.cc
@@ -15,11 +15,12 @@
   statistics.unreconciled_machines =
       placement_->admission().unreconciled_machines();
   statistics.baseline_target_cpus = autoscaler_->baseline_target_cpus();
-  statistics.predictor_error_s = waiting_->predictor().mean_error_s();
-  statistics.predictor_matthews_correlation = waiting_->predictor().matthews();
-  statistics.predictor_samples = waiting_->predictor().samples();
-  statistics.speculative_kills = waiting_->killed();
-  statistics.kept_on_rented_machines = waiting_->rented();
+  statistics.predictor_error_s = waiting_->predictor().mean_absolute_error_s();
+  statistics.predictor_matthews_correlation =
+      waiting_->predictor().matthews_correlation();
+  statistics.predictor_samples = waiting_->predictor().sample_count();
+  statistics.speculative_kills = waiting_->speculative_kills();
+  statistics.kept_on_rented_machines = waiting_->rented_to_end();
   statistics.replicas = replicas_->CollectStatistics();
   statistics.rebalancing = rebalancer_->CollectStatistics();
   return statistics;
--- a/src/core/workers/failure_tracker.cc
+++ b/src/core/workers/failure_tracker.cc
@@ -16,17 +16,17 @@
         {{"job", job->id()}, {"task", task}, {"machine", machine->name}});
   job->failures.last_error_at = context_->now;
   const bool is_first_on_machine =
-      job->failures.machines.insert(machine->name).second;
+      job->failures.machines_failed_on.insert(machine->name).second;
   if (job->failing() && context_->now >= job->failures.retry_at) BackOff(job);
   if (is_first_on_machine && job->broken() &&
-      job->failures.machines.size() == kBrokenJobMachines) {
+      job->failures.machines_failed_on.size() == kBrokenJobMachines) {
     context_->Info(
         "job has failed on several machines and succeeded on none; retrying "
         "with backoff",
         {{"job", job->id()}});
     // Ends the quarantine of machines that only this job's failures spoke
     // against.
-    ReassessMachines(job->failures.machines);
+    ReassessMachines(job->failures.machines_failed_on);
   }
   // A task that keeps failing while other tasks of its job succeed is at fault
   // itself, so the failure does not count against the machine.
@@ -44,7 +44,7 @@
 // round fail.
 void FailureTracker::BackOff(Job* job) const {
   const int doublings =
-      std::min(++job->failures.rounds, kJobRetryPauseMaxDoublings);
+      std::min(++job->failures.failed_rounds, kJobRetryPauseMaxDoublings);
   const double pause_s = kJobRetryPauseS * std::pow(2.0, doublings);
   job->failures.retry_at =
       context_->now + std::min(pause_s, kJobRetryPauseMaxS);
@@ -57,8 +57,8 @@
 
 void FailureTracker::OnTaskSucceeded(Job* job) {
   const std::set<std::string> failed_on =
-      std::exchange(job->failures.machines, {});
-  job->failures.rounds = 0;
+      std::exchange(job->failures.machines_failed_on, {});
+  job->failures.failed_rounds = 0;
   job->failures.retry_at = 0;
   ReassessMachines(failed_on);
 }
