--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -1,6 +1,7 @@
-// Every tuning constant of sorrelwood, with its unit and its reason. Statistics
-// of a cluster (machine types, leases, rates) never stand here: they come from
-// the settings file and the cloud's catalogue.
+// The tuning constants of sorrelwood. Names end in their unit: S is seconds,
+// Ms milliseconds. A share is a fraction of 1. Properties of a cluster (machine
+// types, leases, rates) do not belong here: they come from the settings file
+// and the cloud's catalogue.
 #pragma once
 
 #include <cstddef>
@@ -8,447 +9,688 @@
 
 namespace sorrelwood {
 
-// --- Clocks -----------------------------------------------------------------
-// Steady clocks drift by up to 0.05 % each; two of them, doubled for safety.
-inline constexpr double kClockDrift = 0.002;
+// --- Clocks ---
 
-// --- LeaderElection (seconds)
-// ---------------------------------------------------- Long enough to ride out
-// a slow answer of the state service, short enough that a takeover ends well
-// within the workers' lease.
+// Relative drift between two steady clocks: each drifts by up to 0.05 %, and
+// their sum is doubled for safety.
+inline constexpr double kMaxClockDriftRatio = 0.002;
+
+// --- Leader election ---
+
+// Long enough to survive a slow answer of the state service, short enough that
+// a takeover ends well within the workers' lease.
 inline constexpr double kLeaderLeaseS = 4.0;
+
 inline constexpr double kLeaderLeaseRenewIntervalS = 0.9;
-// No launch leaves when less than this is left of the leader's lease.
+
+// The leader sends no start command when less than this remains of its lease.
 inline constexpr double kDispatchLeaseMarginS = 0.6;
-// Nor when its last look at the jobs is so old (s): one watch that ended, the
-// next one under way, and a second for a slow answer.
+
+// The leader sends no start command when its job cache was last synchronized
+// longer ago. Covers one watch that has ended, the next one in flight, and one
+// second for a slow answer.
 inline constexpr double kDispatchMaxCacheAgeS = 5.0;
-// Pause between two tries for the leader key.
+
+// Pause between two attempts to acquire the leader key.
 inline constexpr double kElectionRetryS = 0.4;
-// A leader that hears less than this share of its machines, of at least so
-// many, leaves the lead to others, who have this long (s) to take it; and how
-// often at most (s).
+
+// A leader resigns when it is in contact with less than this share of its
+// machines.
 inline constexpr double kResignReachableShare = 0.35;
+
+// With fewer machines a leader does not resign for lack of contact.
 inline constexpr int kResignMinMachines = 3;
-// Of so many it leaves after so many report intervals if it hears less than
-// this share of them: each should have reported twice.
+
+// From this number of machines on, a leader that has lost contact with nearly
+// all of them resigns early.
 inline constexpr int kFastResignMinMachines = 10;
-inline constexpr double kFastResignHeartbeats = 2.5;
+
+// Heartbeat intervals without contact after which a machine counts as lost for
+// an early resignation: it should have sent two heartbeats.
+inline constexpr double kFastResignHeartbeatIntervals = 2.5;
+
+// A leader resigns early when it is in contact with less than this share of its
+// machines.
 inline constexpr double kFastResignReachableShare = 0.05;
+
+// After its resignation a leader does not stand for election for this duration,
+// so that another node can take over.
 inline constexpr double kResignPauseS = 8.0;
-inline constexpr double kResignIntervalS = 90.0;
-// For that long it lets the others go first in an election by so much (s): two
-// or three of their tries.
+
+// Shortest time between two resignations of a node.
+inline constexpr double kMinResignIntervalS = 90.0;
+
+// Within kMinResignIntervalS of its resignation a node joins an election this
+// much later than the others, which is two or three of their attempts.
 inline constexpr double kResignedElectionDelayS = 2.0;
-// The core is woken every kTickIntervalS: a gap of so long (s) between two
-// inputs means that the process stood still, and heard nobody meanwhile.
+
+// A longer gap between two inputs of the core, which is woken every
+// kTickIntervalS, means that the process was paused and received no messages.
 inline constexpr double kProcessPauseThresholdS = 1.0;
-// Margin by which report answers stop before the reach that a successor counts
-// on ends; covers a slow thread and the network.
+
+// A leader stops answering heartbeats this long before the end of the period
+// for which its successor expects such answers. Covers a slow thread and the
+// network.
 inline constexpr double kWorkerLeaseMarginS = 2.0;
-// A worker drops answers that take longer than this (protocol).
+
+// A worker drops answers to heartbeats that take longer (protocol).
 inline constexpr double kHeartbeatAnswerTimeoutS = 4.0;
 
-// --- State service
-// ------------------------------------------------------------- Wait for one
-// answer (s). A few hundred milliseconds are usual now and then.
-inline constexpr double kStateTimeoutS = 2.0;
-inline constexpr double kRenewTimeoutS = 1.2;
-// The share of the service's requests that the watches of all nodes use when
-// news come one after the other: each answer opens the next watch.
-inline constexpr double kWatchShare = 0.2;
-// One watch; short, so that a dead connection is noticed.
-inline constexpr double kWatchS = 2.0;
-inline constexpr double kWatchSlackS = 3.0;
-// Finished tasks are collected for this long before they are written (s).
-inline constexpr double kFinishBatchS = 0.25;
-// Share of the state service's write rate that one leader uses; the rest is for
+// --- State service ---
+
+// Time-out of a request. An answer takes a few hundred milliseconds now and
+// then.
+inline constexpr double kStateRequestTimeoutS = 2.0;
+
+inline constexpr double kLeaseRenewalTimeoutS = 1.2;
+
+// Share of the service's request rate that the watches of all nodes use while
+// changes come in quick succession: each answer starts the next watch.
+inline constexpr double kWatchRequestRateShare = 0.2;
+
+// Duration of one watch; short, so that a dead connection is noticed.
+inline constexpr double kWatchDurationS = 2.0;
+
+// Time beyond kWatchDurationS after which a watch times out.
+inline constexpr double kWatchTimeoutMarginS = 3.0;
+
+// Completed tasks are collected for this duration before they are written.
+inline constexpr double kCompletionBatchS = 0.25;
+
+// Share of the service's write rate that the leader uses; the rest is for
 // submissions and cancellations.
 inline constexpr double kLeaderWriteShare = 0.65;
-// Pause after a write that did not get through (s).
+
+// Pause after a failed write.
 inline constexpr double kWriteRetryS = 0.3;
-// Bytes of values in one transaction: half of the protocol's 64 KiB, which also
-// has to hold keys, preconditions and quoting.
-inline constexpr size_t kMaxWriteBytes = size_t{32} * 1024;
-// Tasks whose completion one key holds: 16,384 bits are 4 KiB as hexadecimal.
+
+// Limit on the sum of the values in one transaction: half of the protocol's
+// 64 KiB, which also have to hold keys, preconditions and quoting.
+inline constexpr size_t kMaxTransactionValueBytes = size_t{32} * 1024;
+
+// Tasks whose completion is stored under one key: 16,384 bits are 4 KiB in
+// hexadecimal.
 inline constexpr uint32_t kTasksPerCompletionRecord = 16384;
-// Where that is more than a value may hold, a part of them has a key of its
-// own: at most so many tasks, 1 KiB, and at least so many. Around the bits such
-// a record takes so many bytes at most.
+
+// Where a completion record exceeds the size limit of a value, it is split into
+// parts with a key each. Most tasks of a part: 1 KiB in hexadecimal.
 inline constexpr uint32_t kMaxTasksPerCompletionPart = 4096;
+
+// Fewest tasks of a part of a completion record.
 inline constexpr uint32_t kMinTasksPerCompletionPart = 64;
+
+// Upper bound of the size of such a part without its bits.
 inline constexpr size_t kCompletionPartOverheadBytes = 64;
+
 inline constexpr uint32_t kTasksPerHexDigit = 4;
-// Conditions that a transaction may have for each change (protocol).
-inline constexpr size_t kPreconditionsPerMutation = 4;
-// Bytes that a provisioning request's record takes at most beside the machines'
-// names, and for one name.
+
+// Preconditions that a transaction may have for each mutation (protocol).
+inline constexpr size_t kMaxPreconditionsPerMutation = 4;
+
+// Upper bound of the size of a provisioning request's record without the names
+// of its machines.
 inline constexpr size_t kProvisioningRecordOverheadBytes = 320;
+
+// Upper bound of the size of one machine name in that record.
 inline constexpr size_t kMachineNameMaxBytes = 24;
-// Items that one listing asks for: the most that the service gives, since a
-// takeover reads the records of the whole fleet.
-inline constexpr int kListPage = 1000;
 
-// A node is shut out when the state service has refused it while it served most
-// others at least so long after the refusals began (s).
-inline constexpr double kShutOutS = 1.0;
+// Items requested in one listing: the service's maximum, since a takeover reads
+// the records of the whole fleet.
+inline constexpr int kListPageItems = 1000;
+
+// A node is cut off from the service when the service has answered most other
+// nodes this long after it began to refuse this one.
+inline constexpr double kCutOffThresholdS = 1.0;
 
-// --- Users -------------------------------------------------------------------
-// When a request that still waits for the state service is answered 503 (s):
-// the user gives up after 5 s (submit, cancel) or 2 s (poll).
+// --- User requests ---
+
+// A submission or cancellation that still waits for the state service is
+// answered 503 after this time: the user gives up after 5 s.
 inline constexpr double kSubmitTimeoutS = 3.5;
+
+// A poll that still waits for the state service is answered 503 after this
+// time: the user gives up after 2 s.
 inline constexpr double kPollTimeoutS = 1.5;
-// The pause that a user is asked to make (Retry-After, s) after a 503, and
-// after load shedding (429).
+
+// Retry-After of a 503.
 inline constexpr double kUnavailableRetryAfterS = 1.0;
-inline constexpr double kOverloadedRetryAfterS = 2.0;
-// Polls that wait for a quorum read share one transaction; the first one waits
-// at most this long (s), or longer where all nodes together would otherwise use
-// more than this share of the state service's requests.
+
+// Retry-After of a 429 sent because too many requests are waiting.
+inline constexpr double kTooManyRequestsRetryAfterS = 2.0;
+
+// Polls that need a quorum read are batched into one transaction; the first one
+// of a batch waits this long, or longer because of kQuorumReadRateShare.
 inline constexpr double kQuorumReadBatchS = 0.08;
+
+// Largest share of the state service's request rate that the quorum reads of
+// all nodes use together.
 inline constexpr double kQuorumReadRateShare = 0.3;
-// Quorum reads of one node that may be under way: a slow answer does not hold
-// up the next batch, and a state service that is out does not pile them up.
+
+// Quorum reads of one node in flight: a slow answer does not delay the next
+// batch, and reads do not pile up during an outage of the state service.
 inline constexpr int kMaxQuorumReadsInFlight = 4;
-// The share of the state service's requests that all nodes together use to look
-// up jobs they do not know, when users poll; and the least that a node may look
-// up in a second.
+
+// Share of the state service's request rate that all nodes together use to look
+// up unknown jobs that users poll.
 inline constexpr double kLookupRateShare = 0.2;
+
+// Lookups that a node may make in any case.
 inline constexpr double kMinLookupsPerS = 2.0;
-// Requests that may wait for the state service at once, polls apart from
-// submissions and cancellations, so that a storm of the first leaves room for
-// the others; further ones get 429.
+
+// Polls that may wait for the state service at once; further ones get 429. They
+// have a limit of their own, so that a burst of polls leaves room for
+// submissions and cancellations.
 inline constexpr size_t kMaxWaitingPolls = 120;
+
+// Submissions and cancellations that may wait for the state service at once;
+// further ones get 429.
 inline constexpr size_t kMaxWaitingChanges = 80;
-// Inputs that wait for the core beyond which polls are turned away (429): more
-// than a burst of reports, less than a second's work on the least machine. A
-// larger fleet has larger bursts: one for so many workers that may be
-// connected, if that is more.
+
+// Polls are rejected (429) while more inputs are queued for the core. More than
+// a burst of heartbeats, less than a second's work on the smallest machine.
 inline constexpr size_t kMinInputQueueLimit = 150;
+
+// The limit is one input for this number of workers that may be connected,
+// where that is more: a larger fleet sends larger bursts.
 inline constexpr size_t kWorkersPerQueuedInput = 8;
-// Final states kept in memory; older ones are read again when asked for.
-inline constexpr size_t kFinalStateCacheSize = 20000;
-inline constexpr uint32_t kMaxTasks = 100000;
-inline constexpr size_t kMaxBodyBytes = size_t{64} * 1024;
-inline constexpr size_t kMaxIdLength = 100;
-
-// --- Workers
-// Pause before a new leader reads its records again after a failure (s).
+
+// Final job states kept in memory; older ones are read again on request.
+inline constexpr size_t kFinalStateCacheJobs = 20000;
+
+inline constexpr uint32_t kMaxTasksPerJob = 100000;
+inline constexpr size_t kMaxRequestBodyBytes = size_t{64} * 1024;
+inline constexpr size_t kMaxIdBytes = 100;
+
+// --- Workers ---
+
+// Pause before a new leader retries a failed read of its records.
 inline constexpr double kRecoveryRetryS = 0.3;
-// How often the contact with all machines is checked (s): well within one
-// heartbeat interval, so that silence is noticed within it.
-inline constexpr double kHealthCheckEveryS = 0.5;
+
+// How often the contact with all machines is checked: well within one heartbeat
+// interval, so that silence is noticed within it.
+inline constexpr double kHealthCheckIntervalS = 0.5;
+
 // A machine is silent after this many heartbeat intervals without contact.
-inline constexpr double kSilentHeartbeats = 4.5;
-// At most this share of the machines is returned early for silence: beyond it
-// the fault is more likely the leader's own network.
+inline constexpr double kSilentHeartbeatIntervals = 4.5;
+
+// Silent machines are released early only while they are at most this share of
+// the fleet: beyond it the fault is more likely the leader's own network.
 inline constexpr double kEarlyReleaseMaxShare = 0.34;
-// What a worker may take to stop its tasks once its lease has expired (s).
-inline constexpr double kWorkerStopS = 1.0;
-// Further silence (s) after a lease has expired before the machine is returned;
-// and where many machines are silent, so many worker leases more: they are
-// likely to come back.
+
+// Time that a worker may need to stop its tasks once its lease has expired.
+inline constexpr double kMaxWorkerStopS = 1.0;
+
+// A lost machine is released this long after its lease has expired.
 inline constexpr double kUnreachableReleaseDelayS = 3.0;
+
+// Where early release is not allowed, a lost machine is released this many
+// worker leases later: many lost machines are likely to come back.
 inline constexpr double kLongLostWorkerLeases = 2.0;
-// How often the fencing token is pushed to a silent machine (s).
+
+// How often the fencing token is pushed to a silent machine.
 inline constexpr double kPushIntervalS = 1.0;
-// Time-out of the response to pushed commands (s).
+
+// Time-out of the response to pushed commands.
 inline constexpr double kPushTimeoutS = 1.5;
-// Heartbeat intervals after a failover within which a machine in reach has
-// acknowledged the new token: its next heartbeat, the one that the token makes
-// it send at once, and some to spare. After that the token is pushed to it.
-inline constexpr double kFailoverHeartbeats = 2.0;
-// At most this share of the machines is returned for being the last that block
-// failover recovery: many more are likely to be cut off.
-inline constexpr double kBlockingMachineShare = 0.05;
-// CPUs and GPUs that a machine may hold whose type is not known yet: more than
+
+// Heartbeat intervals after a failover within which a reachable machine has
+// acknowledged the new fencing token: its next heartbeat, the one that it sends
+// at once on seeing the token, and a reserve. After that the token is pushed.
+inline constexpr double kTokenAckHeartbeatIntervals = 2.0;
+
+// Machines that block failover recovery are released only while they are at
+// most this share of the fleet: if there are more, they are likely to be cut
+// off.
+inline constexpr double kBlockingMachineMaxShare = 0.05;
+
+// CPUs, and GPUs, that a machine of unknown type is assumed to hold: more than
 // any limit.
-inline constexpr double kUnknownTypeCpus = 1e9;
-// A machine is quarantined when, since a task last succeeded there, so many
-// attempts failed of jobs that succeed elsewhere, or attempts of so many jobs
-// that have succeeded nowhere yet.
-inline constexpr int kQuarantineErrors = 2;
+inline constexpr double kUnknownTypeCapacity = 1e9;
+
+// A machine is quarantined when, since a task last succeeded there, this many
+// attempts failed of jobs that succeed elsewhere.
+inline constexpr int kQuarantineFailedAttempts = 2;
+
+// It is also quarantined when attempts failed of this many jobs that have not
+// succeeded anywhere yet.
 inline constexpr size_t kQuarantineFailingJobs = 3;
-// A job that has succeeded nowhere and failed on so many machines is tried one
-// task at a time; on so many it is held to be at fault, and no machine is.
+
+// A job that has succeeded nowhere and failed on this many machines is tried
+// one task at a time.
 inline constexpr size_t kFailingJobMachines = 2;
+
+// A job that has succeeded nowhere and failed on this many machines is
+// considered the cause itself, and no machine is.
 inline constexpr size_t kBrokenJobMachines = 3;
-// A task that fails so often while its job succeeds is held to be at fault
+
+// A task that fails this often while its job succeeds is considered the cause
 // itself.
-inline constexpr int kBrokenTaskErrors = 3;
-// Exponential backoff of a job whose tasks fail: the pause after a first
-// failure (s), the longest pause (s), and the most doublings that are computed,
-// which exceed the longest pause.
+inline constexpr int kBrokenTaskFailures = 3;
+
+// Exponential backoff of a job whose tasks fail: the pause after the first
+// failure.
 inline constexpr double kJobRetryPauseS = 2.0;
+
+// The longest pause of that backoff.
 inline constexpr double kJobRetryPauseMaxS = 60.0;
+
+// Doublings computed for that backoff; as many exceed the longest pause.
 inline constexpr int kJobRetryPauseMaxDoublings = 10;
-// How long a job keeps off the machines that it failed on (s).
+
+// How long a job avoids a machine that it failed on.
 inline constexpr double kSuspectMachineAvoidS = 20.0;
-// A machine that refused a start for want of room is given none for so long
-// (s).
+
+// A machine that refused a start for lack of room gets no tasks for this
+// duration.
 inline constexpr double kRefusedStartPauseS = 3.0;
-// After a preemption notice a task runs on when it is expected to end within
-// this share of the time left: estimates are inaccurate.
+
+// After a preemption notice a task runs on if it is expected to end within this
+// share of the time left: estimates are inaccurate.
 inline constexpr double kEndsBeforePreemptionShare = 0.5;
-// How often tasks at the speculation limit, replicas on departing machines and
-// preemption for guarantees are looked at (s).
-inline constexpr double kPolicyEveryS = 1.0;
-
-// --- Peers
-// How often a node sends its status to the other controllers (s); every so many
-// messages the leader's carries the counts of all jobs, not only of those that
-// have changed, since messages may be lost.
-inline constexpr double kPeerStatusEveryS = 1.0;
-inline constexpr uint64_t kPeerStatusFullEvery = 10;
-// The longest time since the state service served a node that is told (ms).
+
+// How often the leader checks tasks at the speculation limit, replicas on
+// departing machines and preemption for guarantees.
+inline constexpr double kPolicyIntervalS = 1.0;
+
+// --- Peers ---
+
+// How often a node sends its status to the other controllers.
+inline constexpr double kPeerStatusIntervalS = 1.0;
+
+// One of this many status messages of the leader carries the counts of all
+// jobs, not only of changed ones, since messages may be lost.
+inline constexpr uint64_t kMessagesPerFullPeerStatus = 10;
+
+// Largest reported time since the state service last answered a node.
 inline constexpr double kMaxServedAgoMs = 1e6;
 
-// --- Placement
-// --------------------------------------------------------------------- How
-// often queued work is matched with machines (s).
-inline constexpr double kPlaceEveryS = 0.1;
-// Amounts of cores and memory that differ by less are equal: sums of many tasks
-// of a fraction of a core each drift by rounding.
+// --- Placement ---
+
+// How often queued tasks are matched with machines.
+inline constexpr double kPlacementIntervalS = 0.1;
+
+// Amounts of CPUs or memory (cores, GB) that differ by less are equal: sums of
+// many tasks of a fraction of a core each drift by rounding.
 inline constexpr double kResourceRounding = 1e-6;
-// What a task that is to stop has beyond the time that it needs to save (s):
-// the worker kills it when that is over.
+
+// Grace period of a stopped task beyond the time that it needs to save a
+// checkpoint; after it the worker kills the task.
 inline constexpr double kSaveGraceMarginS = 1.0;
-// Jobs from the front of the queue that one pass looks at, and how many of each
-// team it looks at in any case.
-inline constexpr size_t kPassJobs = 64;
-inline constexpr size_t kPassJobsPerTeam = 12;
-// Above this many machines with room a pass looks at a sample of them, with
-// those in it that hold the images of so many first jobs.
+
+// Jobs from the front of the queue that one placement pass considers.
+inline constexpr size_t kJobsPerPass = 64;
+
+// Jobs of each team that a pass considers in any case.
+inline constexpr size_t kMinJobsPerTeamPerPass = 12;
+
+// With more candidate machines a pass considers a sample of this size.
 inline constexpr size_t kSampleMachines = 400;
+
+// Machines that hold the image of one of this many first jobs come into the
+// sample first.
 inline constexpr size_t kSampleImageJobs = 8;
-// A fetch that takes over this share of a task's run time is long: a machine
-// that has the image goes before a better fit.
+
+// A fetch that takes more than this share of a task's run time is long: a
+// machine that has the image is preferred to a better fit.
 inline constexpr double kLongFetchShare = 0.1;
 
-// Owners' run time estimates: the least that is believed (s), the furthest that
-// a class may be off, and the weight of one more task seen.
+// --- Run time estimates ---
+
+// Lower bound of the estimate that a job's owner gives.
 inline constexpr double kMinEstimateS = 1.0;
-inline constexpr double kMaxEstimateCorrection = 3.0;
+
+// Largest factor, up or down, by which the owners' estimates of a class are
+// corrected.
+inline constexpr double kMaxEstimateCorrectionRatio = 3.0;
+
+// Weight of one more completed task in that correction.
 inline constexpr double kEstimateLearningRate = 0.02;
-// A replica that has run for so long (s) is well: a fetch and a start are over,
+
+// Estimate for a service, which runs until it is cancelled: longer than any
+// planning window.
+inline constexpr double kServiceEstimateS = 1e5;
+
+// --- Services ---
+
+// A replica that has run for this long is stable: a fetch and a start are over,
 // and a fault of the machine or of the job shows within half a second.
 inline constexpr double kReplicaStableS = 10.0;
-// A replica leaves a machine that is about to go without a place elsewhere when
-// no more than this is left (s): a report, and the end.
-inline constexpr double kReplicaLastMoveS = 3.0;
-// Room for replicas that are yet to come: arrivals of a class are counted over
-// so long (s), and the room holds those of one boot and so many jobs more.
+
+// A replica on a departing machine is stopped when no more than this remains,
+// even if it has no place elsewhere: time for a heartbeat and the stop.
+inline constexpr double kReplicaForcedStopS = 3.0;
+
+// Headroom for future replicas: arrivals of a class are counted over this
+// period.
 inline constexpr double kArrivalWindowS = 60.0;
+
+// Shortest period from which a rate of arrivals is computed.
 inline constexpr double kMinArrivalSpanS = 20.0;
-inline constexpr double kHeadroomJobs = 2.0;
-// None is kept for a class of which nothing has come for so long (s).
-inline constexpr double kHeadroomMemoryS = 600.0;
-// A class that is to start at once and of which nothing has come yet may need
-// any machine: so many of the cheapest ordinary ones are kept, spread.
+
+// Headroom holds the arrivals of one boot time and this many jobs more.
+inline constexpr double kHeadroomExtraJobs = 2.0;
+
+// A class without arrivals for this duration gets no headroom.
+inline constexpr double kHeadroomRetentionS = 600.0;
+
+// A class whose tasks must start at once and which has had no job yet may need
+// any machine: this many of the cheapest ordinary ones are kept, spread over
+// the zones.
 inline constexpr double kUnseenClassHeadroomMachines = 6.0;
-inline constexpr size_t kMaxArrivals = 200;  // remembered of a class
-// How often tasks are stopped for waiting replicas (s).
-inline constexpr double kPreemptEveryS = 0.5;
-// A service runs until it is cancelled: longer than any planning looks (s).
-inline constexpr double kServiceEstimateS = 1e5;
-// A job that has missed all of its aims lets others go first, and a large one
-// lets small ones of its team, until it is this old (s): less than the longest
-// day of sustained overload, so that none waits for ever.
+
+// Latest arrivals remembered of each class.
+inline constexpr size_t kMaxArrivalsPerClass = 200;
+
+// How often tasks are stopped in favour of waiting replicas.
+inline constexpr double kPreemptionIntervalS = 0.5;
+
+// --- Queue order ---
+
+// Up to this age a job that has missed all of its objectives comes after
+// others, and a large job after small ones of its team. Shorter than the
+// longest sustained overload, so that no job waits for ever.
 inline constexpr double kOrderByObjectiveMaxAgeS = 300.0;
-// A job of which nothing has run yet goes before all others from this age on
-// (s): the operators want every job, the largest too, to begin within 240 s,
-// and room has to come free first.
+
+// From this age on a job of which nothing has run comes before all others: the
+// operators require every job, the largest included, to start within 240 s, and
+// room has to become free first.
 inline constexpr double kStarvationAgeS = 120.0;
-// How often the queue's order is judged anew (s).
-inline constexpr double kRankEveryS = 0.5;
 
-// A class whose tasks are to start within this time (s) has room kept free for
-// some of its usual jobs; no more than this share of all such room.
+// How often the order of the queue is computed.
+inline constexpr double kRankingIntervalS = 0.5;
+
+// --- Reserves for immediate starts ---
+
+// A class whose tasks must start within this time has room reserved for some of
+// its usual jobs.
 inline constexpr double kImmediateStartWithinS = 10.0;
-// Work that has waited for so long (s) may use the room kept for services,
-// which may stop it again.
+
+// Work that has waited for this long may use the room reserved for services,
+// which may preempt it again.
 inline constexpr double kReserveYieldS = 30.0;
+
+// Largest share of the slots of the whole fleet that is reserved for one class,
+// services excepted.
 inline constexpr double kReserveMaxShare = 0.12;
-inline constexpr double kMinTaskCpus = 0.1;  // counted for a task
-inline constexpr double kReserveJobs = 1.0;  // how many usual jobs it holds
-// Weight of one more job in what is usual for its class.
+
+// Lower bound of the CPUs of a task when slots are counted.
+inline constexpr double kMinTaskCpus = 0.1;
+
+// Usual jobs of a class that its reserve holds.
+inline constexpr double kReserveJobs = 1.0;
+
+// Weight of one more job in the profile of its class.
 inline constexpr double kClassProfileLearningRate = 0.2;
 
-// --- Load spread
-// How often it is looked at whether running tasks should move (s): a report
-// interval, since moves wait for reports.
-inline constexpr double kRebalanceEveryS = 2.0;
-// Machines that are drawn as places for one move, of which the best is taken:
-// more gain little (the power of d choices).
+// --- Load spread ---
+
+// How often moves of running tasks are considered: a heartbeat interval, since
+// moves wait for heartbeats.
+inline constexpr double kRebalanceIntervalS = 2.0;
+
+// Machines drawn as destinations of one move, of which the best is taken: more
+// gain little (the power of d choices).
 inline constexpr size_t kMoveChoices = 8;
-// A task that is to end sooner (s) stays: a stop, a fetch and a start take as
-// long as it has left.
-inline constexpr double kMoveLeastLeftS = 20.0;
+
+// A task expected to end sooner is not moved: a stop, a fetch and a start take
+// as long as it has left.
+inline constexpr double kMinRemainingRunForMoveS = 20.0;
+
 // A machine is slow when its tasks take this many times as long as others of
-// their jobs, smoothed with this weight over at least so many; a job's mean
-// counts from so many tasks on, and from so long a run (s) that the steps of
-// reports do not matter. Machines of one type differ by a tenth.
-inline constexpr double kSlowRatio = 1.7;
-inline constexpr double kSpeedLearning = 0.3;
-inline constexpr uint64_t kSpeedSamples = 4;
-inline constexpr uint64_t kSpeedJobTasks = 5;
-inline constexpr double kSpeedLeastRunS = 4.0;
-
-// --- Cloud -------------------------------------------------------------------
-// The wait for the answer to one call (s).
+// their jobs. Machines of one type differ by a tenth.
+inline constexpr double kSlowMachineRatio = 1.7;
+
+// Weight of one more task in the smoothed ratio of a machine.
+inline constexpr double kSpeedLearningRate = 0.3;
+
+// Tasks that must have been compared before a machine counts as slow.
+inline constexpr uint64_t kMinSpeedSamples = 4;
+
+// A job's mean run time is compared with once this many of its tasks have
+// completed.
+inline constexpr uint64_t kMinTasksForMeanRun = 5;
+
+// A shorter mean run time is not compared with: the interval of heartbeats
+// makes it inaccurate.
+inline constexpr double kMinMeanRunS = 4.0;
+
+// --- Cloud ---
+
+// Time-out of one call.
 inline constexpr double kCloudTimeoutS = 5.0;
-// The share of the cloud's call rate that the leader uses: calls beyond the
-// rate are refused (429).
+
+// Share of the cloud's call rate that the leader uses: calls beyond the rate
+// are refused (429).
 inline constexpr double kCloudRateShare = 0.8;
-// How often the catalogue is read (s).
+
+// How often the catalogue is read.
 inline constexpr double kCatalogIntervalS = 60.0;
-// The same while no catalogue is known yet: nothing can be provisioned.
+
+// How often the catalogue is read while none is known: until then nothing can
+// be provisioned.
 inline constexpr double kCatalogFirstRetryS = 1.0;
 
-// How often the cloud's inventory is read (s).
+// How often the inventory is read.
 inline constexpr double kInventoryIntervalS = 4.0;
-// The share of the leader's calls that reading the inventory of a large fleet
-// may take: at the usual interval the nine pages of 4,500 machines would take
-// most of them from provisioning and releases.
+
+// Largest share of the leader's calls that reads of the inventory take: at the
+// usual interval the nine pages of 4,500 machines would take most of them from
+// provisioning and releases.
 inline constexpr double kInventoryCallShare = 0.25;
-// What the inventory may lag beyond twice the lag that the settings tell (s).
+
+// The inventory may lag by twice the lag in the settings and this margin.
 inline constexpr double kInventoryLagMarginS = 1.0;
-// Machines of one page: the most that the cloud gives.
-inline constexpr size_t kInventoryPageSize = 500;
 
-// Machines that one call provisions or releases at most (protocol).
+// Machines on one page of the inventory: the cloud's maximum.
+inline constexpr size_t kInventoryPageMachines = 500;
+
+// Machines that one call provisions at most (protocol).
 inline constexpr int kMaxMachinesPerProvisioning = 50;
+
+// Machines that one call releases at most (protocol).
 inline constexpr size_t kMaxMachinesPerRelease = 100;
-// Pause before a provisioning call without an answer is repeated (s).
+
+// Pause before a provisioning call without an answer is repeated.
 inline constexpr double kProvisioningRetryS = 1.0;
-// How long an offer without enough capacity is left alone (s).
+
+// How long an offer without enough capacity is suspended.
 inline constexpr double kNoCapacityPauseS = 12.0;
-// The same after any other refusal, a 429 or an outage of the cloud (s).
+
+// How long an offer is suspended after any other refusal, a 429 or an outage of
+// the cloud.
 inline constexpr double kCloudErrorPauseS = 3.0;
 
-// --- Autoscaling -------------------------------------------------------------
-// How often scale-out and scale-in are planned (s): each plan looks at all
-// machines and jobs.
+// --- Autoscaling ---
+
+// How often scale-out and scale-in are planned: each plan visits all machines
+// and jobs.
 inline constexpr double kPlanIntervalS = 1.0;
-// How far a sum of CPUs may be off an exact multiple through rounding (CPUs).
-inline constexpr double kResourceRoundingTolerance = 1e-6;
 
-// An offer is premium when it costs this many times what the cheapest would.
+// How far rounding may take a quotient of CPUs below the whole number of tasks
+// that fits (tasks).
+inline constexpr double kTaskCountRounding = 1e-6;
+
+// An offer is premium when it costs this many times as much as the cheapest.
 inline constexpr double kPremiumPriceRatio = 1.6;
-// All work up to a job's may take this many times as long as the job's deadline
-// or objective leaves before premium machines are provisioned for it.
+
+// Premium machines are provisioned for a job when all work up to and including
+// it takes more than this many times the time that its deadline or objective
+// leaves.
 inline constexpr double kPremiumOverrunRatio = 2.0;
-// A deadline or objective that leaves less than so many boot times is no reason
-// for a premium machine: it would be up too late.
+
+// A deadline or objective that leaves fewer boot times does not justify a
+// premium machine: it would be up too late.
 inline constexpr double kPremiumMinBootTimes = 1.0;
 
-// Capacity that the machines that stay must have, as a multiple of the demand,
-// before dearer ones are excess.
-inline constexpr double kExcessCapacityMargin = 1.0;
-// Draining a machine: the free capacity elsewhere as a multiple of what moves,
-// and the share of a machine at an ordinary price that may be in use.
+// Machines are excess only while the capacity of the others is at least this
+// many times the demand.
+inline constexpr double kExcessCapacityRatio = 1.0;
+
+// Free capacity that the other machines must have for a machine to be drained,
+// as a multiple of the capacity that moves.
 inline constexpr double kDrainFreeCapacityRatio = 1.3;
+
+// A machine at an ordinary price is drained when at most this share of its CPUs
+// is in use.
 inline constexpr double kDrainMaxUsedShare = 0.5;
-// What a drained task gets beyond its own time to save its progress (s).
+
+// Grace period of a drained task beyond the time that it needs to save a
+// checkpoint.
 inline constexpr double kDrainGraceMarginS = 1.0;
-// A task may be stopped to move if it saves its progress within so long (s),
-// and has run for so long (s): a start that is undone within 30 s counts for no
-// objective.
+
+// A task may be stopped to be moved if it saves its checkpoint within this
+// time.
 inline constexpr double kMaxCheckpointSaveS = 5.0;
+
+// A task may be stopped to be moved once it has run for longer than this: a
+// start that is undone within 30 s counts for no objective.
 inline constexpr double kMinRunBeforeMoveS = 32.0;
 
-// A machine that is not up counts in full for this many of its type's boot
-// times, which covers the usual spread, and for nothing after so many.
+// A booting machine counts in full as capacity for this many boot times of its
+// type, which covers the usual variation.
 inline constexpr double kFullCreditBootTimes = 1.5;
+
+// A booting machine does not count as capacity after this many boot times.
 inline constexpr double kNoCreditBootTimes = 3.0;
-// It has timed out after this many boot times when so many machines of its type
-// that were provisioned no earlier are up: another would be up sooner. In any
-// case after so many, and never before it is so old (s).
+
+// A boot may time out after this many boot times, see kBootTimeoutPeers.
 inline constexpr double kBootTimeoutBootTimes = 1.8;
+
+// It does so when this many machines of the type that were provisioned no
+// earlier are up: a new machine would be up sooner.
 inline constexpr size_t kBootTimeoutPeers = 3;
+
+// A boot times out in any case after this many boot times.
 inline constexpr double kBootTimeoutMaxBootTimes = 6.0;
+
+// No boot times out before this time.
 inline constexpr double kBootTimeoutMinS = 30.0;
 
-// How often the teams are described in the debug log (s).
-inline constexpr double kDebugEveryS = 5.0;
+// --- Debug log ---
+
+// How often the teams are described in the debug log.
+inline constexpr double kDebugLogIntervalS = 5.0;
+
+// --- Threads ---
 
-// --- Threads and connections
-// Stack of a thread that reads and answers requests (bytes): the library's
-// buffers take 20 KiB.
+// Stack of a thread that reads and answers requests: the library's buffers take
+// 20 KiB.
 inline constexpr size_t kConnectionThreadStackBytes = size_t{192} * 1024;
-// Stack of every other thread (bytes).
+
+// Stack of every other thread.
 inline constexpr size_t kThreadStackBytes = size_t{256} * 1024;
-// Arenas of malloc: each one more costs memory that a small machine lacks.
+
+// Arenas of malloc: each further one costs memory that a small machine lacks.
 inline constexpr int kMallocArenas = 2;
-// Threads that send requests to the state service and to the cloud, each with
-// a connection of its own. Enough that one slow answer does not hold up the
-// next request of its class.
+
+// Threads with a connection of their own that send the leader's requests to the
+// state service. With several of them one slow answer does not delay the next
+// request of its class; the same holds for the three constants below.
 inline constexpr int kLeaderStateThreads = 3;
+
+// Threads that send submissions and cancellations to the state service.
 inline constexpr int kUserStateThreads = 3;
+
+// Threads that send quorum reads for polls to the state service.
 inline constexpr int kPollStateThreads = 2;
+
+// Threads that send provisioning and release calls to the cloud.
 inline constexpr int kCloudChangeThreads = 3;
-// Threads that push commands to workers: one for so many workers that may be
-// connected, within these bounds. A zone that hangs leaves a third of the
-// machines silent, each taking the whole time-out; all of them are to have had
-// their turn within a lease or so.
+
+// Workers that may be connected for each thread that pushes commands. A zone
+// that hangs leaves a third of the machines silent, each of which takes the
+// whole time-out; all of them should be served within about one lease.
 inline constexpr size_t kWorkersPerPushThread = 30;
+
 inline constexpr size_t kMinPushThreads = 16;
 inline constexpr size_t kMaxPushThreads = 128;
-// The core's clock: how often it is woken without an input (s).
+
+// How often the core is woken without an input.
 inline constexpr double kTickIntervalS = 0.04;
-// How often the core's statistics are published as metrics (s): several times
-// within the usual interval of scraping.
+
+// How often the core publishes its statistics as metrics: several times within
+// the usual scrape interval.
 inline constexpr double kMetricsIntervalS = 5.0;
-// A connection's thread waits this long for the core's answer (s): less than a
+
+// How long a connection's thread waits for the core's answer: less than a
 // worker's 4 s and a user's 5 s.
 inline constexpr double kCoreAnswerTimeoutS = 3.8;
-// When a client that was not answered may try again (s): at once after a core
-// that was late, since another controller may answer; later where too many
-// inputs are queued, so that the queue can drain.
-inline constexpr double kBusyRetryAfterS = 1.0;
-inline constexpr double kOverloadRetryAfterS = 2.0;
-// Sockets kept for what this process itself opens: connections to the state
+
+// Retry-After when the core has not answered in time: short, since another
+// controller may answer.
+inline constexpr double kCoreLateRetryAfterS = 1.0;
+
+// Retry-After when too many inputs are queued: longer, so that the queue can
+// drain.
+inline constexpr double kInputQueueFullRetryAfterS = 2.0;
+
+// --- Capacity of a controller ---
+
+// Sockets reserved for connections that this process opens: to the state
 // service, the cloud, workers and the other controllers.
 inline constexpr int kOutboundSockets = 100;
-// Memory of all but the connections (MiB): 12 to 15 were seen on a leader of
-// 300 machines and 250 jobs.
+
+// Memory of all but the connections. Covers a leader of 300 machines and 250
+// jobs with a reserve.
 inline constexpr double kBaseMemoryMib = 22;
-// Memory of a request in hand (KiB), its thread's stack and buffers: 40 were
-// seen.
+
+// Memory of a request that is being handled: its thread's stack and buffers,
+// with a reserve.
 inline constexpr double kRequestMemoryKib = 56;
-// Memory of an open connection (KiB).
+
+// Memory of an open connection.
 inline constexpr double kConnectionMemoryKib = 2;
-// Memory of one of the leader's machines with some ten tasks on it (KiB): 3.0
-// were measured in a simulated cluster of 4,500.
+
+// Memory of one of the leader's machines with about ten tasks on it, with a
+// reserve.
 inline constexpr double kMachineMemoryKib = 4;
-// Threads that read and answer requests: more than may wait for the state
-// service at once, and far fewer than the 2,000 that a process may have.
+
+// Threads that read and answer requests: more than the requests that may wait
+// for the state service at once, and far fewer than the 2,000 that a process
+// may have.
 inline constexpr double kMaxRequestThreads = 320;
-// The shares of workers and users of these threads. Workers are answered at
-// once; a tenth is left to probes and to those who have not asked yet.
+
+// Share of these threads for workers, which are answered at once. A tenth is
+// left for probes and for clients that have not sent a request yet.
 inline constexpr double kWorkerThreadShare = 0.15;
+
+// Share of these threads for users.
 inline constexpr double kUserThreadShare = 0.75;
-// The shares of workers and users of all connections. A tenth is left to probes
-// and to those who have not asked yet.
+
+// Share of all connections for workers. A tenth is left for probes and for
+// clients that have not sent a request yet.
 inline constexpr double kWorkerConnectionShare = 0.6;
+
+// Share of all connections for users.
 inline constexpr double kUserConnectionShare = 0.3;
-// With fewer connections, or threads, a controller is of no use.
+
+// A controller with fewer connections is of no use.
 inline constexpr size_t kMinConnections = 40;
+
+// A controller with fewer request threads is of no use.
 inline constexpr size_t kMinRequestThreads = 16;
-// Events that one call of epoll_wait takes: a burst of a large fleet needs a
+
+// --- HTTP connections ---
+
+// Events that one call of epoll_wait returns: a burst of a large fleet needs a
 // few calls, and the buffer stays small.
-inline constexpr int kMaxPollEvents = 64;
-// How long a connection of a user or a probe may stay without a request (s).
+inline constexpr int kMaxEpollEvents = 64;
+
+// How long a connection of a user or a probe may stay open without a request.
 inline constexpr double kIdleConnectionTimeoutS = 75.0;
-// How often connections are looked at for this (s).
+
+// How often connections are checked for this time-out.
 inline constexpr double kIdleCheckIntervalS = 1.0;
-// All of a request must be read, and all of its answer written, within this
-// time (s).
-inline constexpr double kRequestReadTimeoutS = 5.0;
-// Connections that may wait to be accepted, and one more for so many workers
-// that may be connected: all of a large fleet come to a new leader within half
-// a second.
+
+// A whole request must be read, and a whole answer written, within this time.
+inline constexpr double kRequestTransferTimeoutS = 5.0;
+
+// Connections that may wait to be accepted.
 inline constexpr int kMinListenBacklog = 256;
+
+// One more connection may wait for this number of workers that may be
+// connected: all workers of a large fleet connect to a new leader within half a
+// second.
 inline constexpr int kWorkersPerBacklogEntry = 4;
 
 }  // namespace sorrelwood
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -104,7 +104,7 @@
   std::string after;
   for (bool has_more = true; has_more;) {
     const HttpAnswer answer =
-        http_.Get(protocol::MachinePageTarget(after, kInventoryPageSize));
+        http_.Get(protocol::MachinePageTarget(after, kInventoryPageMachines));
     result.outcome = OutcomeOfAnswer(answer);
     if (result.outcome != Outcome::kOk) return result;
     auto page = protocol::ParseMachinePage(answer.body);
--- a/src/core/api/pending_requests.cc
+++ b/src/core/api/pending_requests.cc
@@ -33,7 +33,7 @@
 
 void PendingRequests::AnswerOverloaded(uint64_t request,
                                        const std::string& why) {
-  Answer(request, 429, protocol::EncodeError(why), kOverloadedRetryAfterS);
+  Answer(request, 429, protocol::EncodeError(why), kTooManyRequestsRetryAfterS);
 }
 
 void PendingRequests::AnswerUnavailable(uint64_t request,
--- a/src/core/autoscaling/autoscaler.cc
+++ b/src/core/autoscaling/autoscaler.cc
@@ -24,13 +24,13 @@
       low_cost_scale_out_(jobs, &catalog_, &demand_, &capacity_, policy),
       premium_scale_out_(context, jobs, &catalog_, &demand_, &capacity_,
                          settings, policy),
-      headroom_(context, jobs, machines, placement, &catalog_, &requests_,
-                settings),
+      headroom_planner_(context, jobs, machines, placement, &catalog_,
+                        &requests_, settings),
       baseline_(machines, &catalog_, policy),
-      excess_(context, jobs, machines, &demand_, policy),
-      idle_(context, machines, &releases_, policy) {
-  releases_.on_gone = [this](Machine* machine) {
-    if (on_gone) on_gone(machine);
+      excess_drainer_(context, jobs, machines, &demand_, policy),
+      idle_releaser_(context, machines, &releases_, policy) {
+  releases_.on_machine_gone = [this](Machine* machine) {
+    if (on_machine_gone) on_machine_gone(machine);
   };
 }
 
@@ -53,27 +53,29 @@
   releases_.Clear();
   inventory_.Clear();
   catalog_.ClearSuspensions();
-  idle_.Clear();
+  idle_releaser_.Clear();
 }
 
 void Autoscaler::Tick(bool may_dispatch, double dispatch_deadline) {
   if (!may_dispatch || placement_->admission().unreconciled_machines() > 0)
-    idle_.OnWorkBlocked();
+    idle_releaser_.OnWorkBlocked();
   // Prevents a leader that is cut off, and perhaps replaced, from releasing
-  // machines: its call may be carried out late, when the next leader's work
-  // runs there.
+  // machines: the cloud may carry out its call late, when tasks of the next
+  // leader run there.
   if (!may_dispatch || catalog_.types().empty()) return;
-  // The parts share the quota: releases stop costs, so they go first.
+  // All of these share the quota of cloud calls. Releases come first because
+  // they stop costs.
   releases_.Send(dispatch_deadline);
   requests_.SendDue(dispatch_deadline);
   inventory_.Tick();
   if (context_->now < next_plan_at_) return;
   next_plan_at_ = context_->now + kPlanIntervalS;
-  // In this order: what is baseline or for services is neither excess nor idle.
+  // The order matters: machines of the baseline or for services are neither
+  // excess nor idle.
   baseline_.SelectMachines();
-  headroom_.SelectMachines();
-  excess_.Run();
-  idle_.Run();
+  headroom_planner_.SelectMachines();
+  excess_drainer_.Run();
+  idle_releaser_.Run();
   ScaleOut();
 }
 
@@ -81,8 +83,8 @@
   ScaleOutPlan plan;
   low_cost_scale_out_.Plan(&plan);
   premium_scale_out_.Plan(&plan);
-  headroom_.Plan(&plan);
-  baseline_.Plan(capacity_.TotalCpus(plan), &plan);
+  headroom_planner_.Plan(&plan);
+  baseline_.Plan(capacity_.SumCpus(plan), &plan);
   for (const Offer& offer : catalog_.offers())
     requests_.Provision(offer, plan.Count(offer));
 }
--- a/src/core/autoscaling/autoscaler.h
+++ b/src/core/autoscaling/autoscaler.h
@@ -1,6 +1,6 @@
-// Fits the fleet to the work: provisions machines (scale-out) and releases them
-// (scale-in). This class decides when each part runs; the parts are in the
-// other files of this folder.
+// Adapts the size of the fleet to the demand: provisions machines (scale-out)
+// and releases them (scale-in). This class decides when each component runs;
+// the components are in the other files of this folder.
 #pragma once
 
 #include <functional>
@@ -37,45 +37,47 @@
              Placement* placement, StateWriter* writer,
              const StateLimitTracker* limits, const ClusterSettings* settings,
              const PolicySettings& policy);
-  // The parts point to each other.
+  // The components hold pointers to each other.
   Autoscaler(const Autoscaler&) = delete;
   Autoscaler& operator=(const Autoscaler&) = delete;
 
-  // The cloud's catalogue was read. Nothing is done before the first one.
+  // Takes over a catalogue read from the cloud. Until the first one the
+  // autoscaler changes nothing.
   void UpdateCatalog(const std::vector<MachineType>& types);
-  // Null if the catalogue has never named the type. Valid for ever.
+  // Null if no catalogue has contained the type. The pointer stays valid.
   const MachineType* FindType(const std::string& name) const {
     return catalog_.FindType(name);
   }
 
-  // This controller leads from now on: takes over the provisioning requests of
-  // the leaders before it. The machine table holds the recorded machines.
+  // Starts a term of this controller as leader: takes over the provisioning
+  // requests of earlier leaders. The machine table must already hold the
+  // recorded machines.
   void Load(uint64_t term, const std::vector<ProvisioningRecord>& records);
-  // The lead is lost.
+  // Drops the state of the term. Called when leadership is lost.
   void Clear();
 
-  // Called often. `may_dispatch`: this leader may change the fleet now. Cloud
-  // calls that have not left by `dispatch_deadline` (steady clock, s) do not
-  // leave.
+  // Called every kTickIntervalS once failover recovery is complete.
+  // `may_dispatch`: this leader may change the fleet now. Cloud calls not sent
+  // by `dispatch_deadline` (steady clock, s) are dropped.
   void Tick(bool may_dispatch, double dispatch_deadline);
 
-  // Releases the machine, unless that is under way. Until the cloud confirms,
-  // its tasks count as running there.
+  // Releases the machine, unless its release is already in progress. Until the
+  // cloud confirms the release, its tasks count as running there.
   void Release(Machine* machine, ReleaseReason reason) {
     releases_.Release(machine, reason);
   }
-  // The machine's own record is committed.
+  // Called when the machine's own record is committed.
   void OnMachineRecorded(const std::string& machine) {
     requests_.OnMachineRecorded(machine);
   }
 
-  // The cloud's inventory has been read since this leader was elected.
+  // Whether the cloud's inventory has been read since this leader was elected.
   bool inventory_known() const { return inventory_.known(); }
-  // CPUs that are kept whether or not there is work for them.
+  // CPUs that are kept regardless of the demand.
   double baseline_target_cpus() const { return baseline_.target_cpus(); }
 
-  // Called when the cloud has confirmed that the machine is gone.
-  std::function<void(Machine*)> on_gone;
+  // Called when the cloud has confirmed that the machine no longer exists.
+  std::function<void(Machine*)> on_machine_gone;
 
  private:
   void ScaleOut();
@@ -93,10 +95,10 @@
   ExpectedCapacity capacity_;
   LowCostScaleOut low_cost_scale_out_;
   PremiumScaleOut premium_scale_out_;
-  HeadroomPlanner headroom_;
+  HeadroomPlanner headroom_planner_;
   Baseline baseline_;
-  ExcessDrainer excess_;
-  IdleReleaser idle_;
+  ExcessDrainer excess_drainer_;
+  IdleReleaser idle_releaser_;
   double next_plan_at_ = 0;
 };
 
--- a/src/core/autoscaling/baseline.h
+++ b/src/core/autoscaling/baseline.h
@@ -1,5 +1,5 @@
-// The steady baseline: capacity that is kept whether or not there is work for
-// it, and follows the load slowly.
+// The baseline: capacity that is kept regardless of the current demand and
+// follows the load slowly.
 #pragma once
 
 #include "core/autoscaling/offer_catalog.h"
@@ -17,31 +17,31 @@
       : machines_(machines),
         catalog_(catalog),
         share_of_guarantees_(policy.baseline_initial_share),
-        load_memory_s_(policy.baseline_smoothing_s) {}
+        smoothing_s_(policy.baseline_smoothing_s) {}
 
-  // A term begins; the teams are guaranteed so many CPUs. The operators' share
-  // of them is the baseline at first, and its maximum.
+  // Starts a term. The baseline's initial and maximum size is the share in the
+  // operators' settings of `guaranteed_cpus`, the sum of the teams' guarantees.
   void Reset(double guaranteed_cpus);
 
-  // Follows the load and marks the machines that are the baseline
-  // (FleetRole::baseline): the cheapest, among equals by name, up to the
+  // Updates the target from the load and marks the machines of the baseline
+  // (FleetRole::baseline): the cheapest ones, among equals by name, up to the
   // target. Called every kPlanIntervalS.
   void SelectMachines();
 
-  // Adds machines to `plan` until it and the `expected_cpus` that there are
-  // without further ones make up the target.
+  // Adds machines to `plan` until they and `expected_cpus`, the capacity
+  // without them, reach the target.
   void Plan(double expected_cpus, ScaleOutPlan* plan) const;
 
   double target_cpus() const { return target_cpus_; }
 
  private:
   // Null if all offers are suspended.
-  const Offer* CheapestOffer() const;
+  const Offer* FindCheapestOffer() const;
 
   MachineTable* machines_;
   const OfferCatalog* catalog_;
   const double share_of_guarantees_;
-  const double load_memory_s_;
+  const double smoothing_s_;  // time constant of load_cpus_
   double target_cpus_ = 0;
   double max_cpus_ = 0;
   double load_cpus_ = 0;  // in use, smoothed
--- a/src/core/autoscaling/boot_history.cc
+++ b/src/core/autoscaling/boot_history.cc
@@ -6,10 +6,10 @@
 
 namespace sorrelwood {
 
-double ExpectedAvailability(const Machine& machine, double now) {
+double EstimateAvailability(const Machine& machine, double now) {
   if (machine.lifecycle.ever_reported) return 1;
-  const double boot_times =
-      (now - machine.lifecycle.rented_at) / std::max(1.0, machine.type->boot_s);
+  const double boot_times = (now - machine.lifecycle.provisioned_at) /
+                            std::max(1.0, machine.type->boot_s);
   return std::clamp((kNoCreditBootTimes - boot_times) /
                         (kNoCreditBootTimes - kFullCreditBootTimes),
                     0.0, 1.0);
@@ -17,27 +17,28 @@
 
 BootHistory::BootHistory(MachineTable* machines) {
   for (const auto& [name, machine] : machines->all())
-    if (machine->lifecycle.came_up_at > 0)
-      provisioned_at_[machine->type].push_back(machine->lifecycle.rented_at);
-  for (auto& [type, times] : provisioned_at_)
+    if (machine->lifecycle.first_heartbeat_at > 0)
+      provisioned_at_by_type_[machine->type].push_back(
+          machine->lifecycle.provisioned_at);
+  for (auto& [type, times] : provisioned_at_by_type_)
     std::sort(times.begin(), times.end());
 }
 
 bool BootHistory::HasTimedOut(const Machine& machine, double now) const {
-  const double age_s = now - machine.lifecycle.rented_at;
+  const double age_s = now - machine.lifecycle.provisioned_at;
   const auto older_than = [&](double boot_times) {
     return age_s >
            std::max(kBootTimeoutMinS, machine.type->boot_s * boot_times);
   };
   if (!older_than(kBootTimeoutBootTimes)) return false;
-  // Only machines provisioned no earlier that are up already show that this one
-  // is at fault. Prevents releasing, while the whole cloud boots slowly,
-  // everything that was paid for.
-  const auto of_type = provisioned_at_.find(machine.type);
-  if (of_type != provisioned_at_.end()) {
-    const std::vector<double>& times = of_type->second;
+  // Only machines that were provisioned no earlier and are already up show that
+  // this machine is at fault. Prevents the release of all booting machines, for
+  // which the cloud has already charged, while the whole cloud boots slowly.
+  const auto entry = provisioned_at_by_type_.find(machine.type);
+  if (entry != provisioned_at_by_type_.end()) {
+    const std::vector<double>& times = entry->second;
     const auto first_peer = std::lower_bound(times.begin(), times.end(),
-                                             machine.lifecycle.rented_at);
+                                             machine.lifecycle.provisioned_at);
     if (static_cast<size_t>(times.end() - first_peer) >= kBootTimeoutPeers)
       return true;
   }
--- a/src/core/autoscaling/cloud_call_quota.cc
+++ b/src/core/autoscaling/cloud_call_quota.cc
@@ -11,12 +11,13 @@
 }
 
 bool CloudCallQuota::TryAcquire() {
-  const double rate = CallsPerS();
-  available_ =
-      std::min(rate, available_ + (context_->now - refilled_at_) * rate);
+  const double calls_per_s = CallsPerS();
+  available_calls_ =
+      std::min(calls_per_s,
+               available_calls_ + (context_->now - refilled_at_) * calls_per_s);
   refilled_at_ = context_->now;
-  if (available_ < 1) return false;
-  available_ -= 1;
+  if (available_calls_ < 1) return false;
+  available_calls_ -= 1;
   return true;
 }
 
--- a/src/core/autoscaling/cloud_call_quota.h
+++ b/src/core/autoscaling/cloud_call_quota.h
@@ -1,4 +1,4 @@
-// The rate at which the leader may call the cloud.
+// Limits the rate at which the leader calls the cloud.
 #pragma once
 
 #include "core/engine/context.h"
@@ -6,28 +6,28 @@
 
 namespace sorrelwood {
 
-// A token bucket that holds one second's calls. Prevents the cloud from turning
-// calls away (429), which would delay those that matter.
+// A token bucket that holds the calls of one second. Prevents the cloud from
+// rejecting calls (429), which would delay the important ones.
 class CloudCallQuota {
  public:
   // Both must outlive this object.
   CloudCallQuota(const Context* context, const ClusterSettings* settings)
       : context_(context), settings_(settings) {}
 
-  // Calls a second that are used of the cloud's rate.
+  // The leader's share of the cloud's call rate.
   double CallsPerS() const;
 
-  // Takes one call, if one is left now.
+  // Takes one call; false if none is left now.
   bool TryAcquire();
 
-  // Calls that were made without asking first: they are missing later.
-  void Charge(double calls) { available_ -= calls; }
+  // Accounts for calls made without TryAcquire: later calls wait for them.
+  void Charge(double calls) { available_calls_ -= calls; }
 
  private:
   const Context* context_;
   const ClusterSettings* settings_;
-  double available_ = 0;
-  double refilled_at_ = 0;
+  double available_calls_ = 0;  // negative after Charge
+  double refilled_at_ = 0;      // steady clock, s
 };
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/demand_estimator.cc
+++ b/src/core/autoscaling/demand_estimator.cc
@@ -8,15 +8,15 @@
 
 namespace sorrelwood {
 
-TeamCpus DemandEstimator::UnusedQuota() const {
-  TeamCpus unused;
+CpusByTeam DemandEstimator::ComputeUnusedQuota() const {
+  CpusByTeam unused;
   for (const Team& team : settings_->teams)
     unused[team.name] = team.cpus_max - jobs_->UsageOf(team.name).cpus;
   return unused;
 }
 
 double DemandEstimator::TakeStartableTasks(const Job& job,
-                                           TeamCpus* unused_quota) const {
+                                           CpusByTeam* unused_quota) const {
   if (job.progress.pending.empty() || job.finishing ||
       context_->now < job.failures.retry_at)
     return 0;
@@ -24,8 +24,8 @@
   double tasks = job.RunnableTasks(context_->now) -
                  static_cast<double>(job.speculation.waiting_since.size());
   if (job.spec().cpus > 0)
-    tasks = std::min(tasks, std::floor(unused / job.spec().cpus +
-                                       kResourceRoundingTolerance));
+    tasks = std::min(tasks,
+                     std::floor(unused / job.spec().cpus + kTaskCountRounding));
   tasks = std::max(0.0, tasks);
   unused -= tasks * job.spec().cpus;
   return tasks;
--- a/src/core/autoscaling/demand_estimator.h
+++ b/src/core/autoscaling/demand_estimator.h
@@ -1,4 +1,5 @@
-// How much of a machine the queued work takes, and which machines may run it.
+// Estimates the capacity that queued work needs, and tells which machines can
+// run it.
 #pragma once
 
 #include <map>
@@ -11,8 +12,7 @@
 
 namespace sorrelwood {
 
-// CPUs by team.
-using TeamCpus = std::map<std::string, double>;
+using CpusByTeam = std::map<std::string, double>;
 
 class DemandEstimator {
  public:
@@ -21,22 +21,24 @@
                   const ClusterSettings* settings)
       : context_(context), jobs_(jobs), settings_(settings) {}
 
-  // What each team's limit leaves beside what it runs.
-  TeamCpus UnusedQuota() const;
+  // Each team's CPU limit minus what its tasks use.
+  CpusByTeam ComputeUnusedQuota() const;
 
-  // Pending tasks of the job that may start now within its team's limit. They
-  // are taken off `unused_quota`, so that the team's next job sees the rest.
-  double TakeStartableTasks(const Job& job, TeamCpus* unused_quota) const;
+  // The number of pending tasks of the job that may start now within its team's
+  // limit. Subtracts their CPUs from `unused_quota`, so that the rest is left
+  // for the team's next job.
+  double TakeStartableTasks(const Job& job, CpusByTeam* unused_quota) const;
 
-  // What one task takes of a machine of the type, as CPUs: its scarcest
-  // resource decides.
+  // The share that one task takes of a machine of the type, expressed in the
+  // machine's CPUs. The resource of which the task takes the largest share
+  // decides.
   static double CpuEquivalent(const JobSpec& spec, const MachineType& type);
-  // The same times the task's run time, of which no more than `window_s`
-  // counts.
+  // CpuEquivalent times the task's estimated run time, of which at most
+  // `window_s` counts.
   double CpuSeconds(const JobSpec& spec, const MachineType& type,
                     double window_s) const;
 
-  // An empty machine of this kind could run a task of the job.
+  // Whether an empty machine of this kind could run a task of the job.
   static bool CanRunOn(const Job& job, const MachineType& type,
                        const std::string& zone, bool spot);
 
--- a/src/core/autoscaling/excess_drainer.cc
+++ b/src/core/autoscaling/excess_drainer.cc
@@ -11,16 +11,16 @@
 namespace sorrelwood {
 namespace {
 
-// The order in which machines become excess, the least first: never the
-// baseline before others, then the dearest, then those that empty already, then
-// those that are empty soonest. Members are compared in this order.
+// The order in which machines become excess, the lowest rank first: machines of
+// the baseline last, then the most expensive first, then those that were excess
+// before, then those with the least in use. Members are compared in this order.
 struct ExcessRank {
   bool baseline = false;
   double negative_price = 0;
   bool newly_excess = false;
   double used_share = 0;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
   auto operator<=>(const ExcessRank&) const = default;
 };
 
@@ -38,7 +38,7 @@
     if (machine->InService()) machines.push_back(machine.get());
   }
   if (machines.empty()) return;
-  const double demand_cpus = DemandCpus(machines);
+  const double demand_cpus = EstimateDemandCpus(machines);
   std::stable_sort(machines.begin(), machines.end(),
                    [](const Machine* a, const Machine* b) {
                      return RankOf(*a) < RankOf(*b);
@@ -47,14 +47,15 @@
   DrainExcess(machines);
 }
 
-double ExcessDrainer::DemandCpus(const std::vector<Machine*>& machines) const {
+double ExcessDrainer::EstimateDemandCpus(
+    const std::vector<Machine*>& machines) const {
   double cpus = 0;
   for (const Machine* machine : machines)
     for (const auto& [task, attempt] : machine->attempts)
       if (const Job* job = jobs_->Find(task.job))
         cpus += DemandEstimator::CpuEquivalent(job->spec(), *machine->type);
   const MachineType& type = *machines.front()->type;
-  TeamCpus unused_quota = demand_->UnusedQuota();
+  CpusByTeam unused_quota = demand_->ComputeUnusedQuota();
   for (const Job* job : jobs_->queue())
     cpus += demand_->TakeStartableTasks(*job, &unused_quota) *
             demand_->CpuSeconds(job->spec(), type, window_s_) / window_s_;
@@ -63,20 +64,21 @@
 
 void ExcessDrainer::MarkExcess(const std::vector<Machine*>& machines,
                                double demand_cpus) {
-  double capacity = 0;
-  for (const Machine* machine : machines) capacity += machine->type->cpus;
+  double capacity_cpus = 0;
+  for (const Machine* machine : machines) capacity_cpus += machine->type->cpus;
   for (Machine* machine : machines) {
     if (machine->role.baseline) return;
     if (machine->role.for_services) continue;
-    if (capacity - machine->type->cpus < demand_cpus * kExcessCapacityMargin)
+    if (capacity_cpus - machine->type->cpus <
+        demand_cpus * kExcessCapacityRatio)
       continue;
     machine->role.excess = true;
-    capacity -= machine->type->cpus;
+    capacity_cpus -= machine->type->cpus;
   }
 }
 
-// Premium machines are drained whatever they hold, others once they are half
-// empty: moving a task costs a checkpoint, a fetch and a start.
+// Premium machines are drained at any load, others only at most half in use:
+// moving a task costs a checkpoint, a fetch and a start.
 bool ExcessDrainer::MayDrain(const Machine& machine, bool premium) const {
   if (!machine.role.excess || machine.attempts.empty()) return false;
   if (!premium && machine.cpus_used > machine.type->cpus * kDrainMaxUsedShare)
@@ -98,7 +100,7 @@
     const bool premium =
         PricePerCpu(*machine) >= lowest_price * kPremiumPriceRatio;
     const double needed_cpus = machine->cpus_used * kDrainFreeCapacityRatio;
-    // Prevents tasks from being stopped that then find no machine.
+    // Prevents the stop of tasks for which no other machine has room.
     if (needed_cpus > free_cpus || !MayDrain(*machine, premium)) continue;
     free_cpus -= needed_cpus;
     Drain(machine);
--- a/src/core/autoscaling/excess_drainer.h
+++ b/src/core/autoscaling/excess_drainer.h
@@ -1,5 +1,4 @@
-// Scale-in: which machines are in excess of what the work needs, and moving
-// what runs there elsewhere.
+// Scale-in: determines the machines in excess of the demand, and drains them.
 #pragma once
 
 #include <vector>
@@ -23,15 +22,16 @@
         demand_(demand),
         window_s_(policy.backlog_limit_s) {}
 
-  // Marks the dearest machines (FleetRole::excess) as long as the others can do
-  // all the work there is within the operators' drain time. Marked machines get
-  // no more of it: they empty, and are released when idle. Those whose tasks
-  // can save their progress are drained.
+  // Marks the most expensive machines as excess (FleetRole::excess) as long as
+  // the others can do all present work within the operators' backlog limit.
+  // Marked machines get no further tasks: they become empty, and are released
+  // when idle. Those whose tasks can write checkpoints are drained.
   void Run();
 
  private:
   std::vector<Machine*> InServiceByRank();
-  double DemandCpus(const std::vector<Machine*>& machines) const;
+  // CPUs in use, and those that do the startable work within `window_s_`.
+  double EstimateDemandCpus(const std::vector<Machine*>& machines) const;
   static void MarkExcess(const std::vector<Machine*>& machines,
                          double demand_cpus);
   void DrainExcess(const std::vector<Machine*>& machines);
@@ -42,7 +42,7 @@
   JobTable* jobs_;
   MachineTable* machines_;
   const DemandEstimator* demand_;
-  const double window_s_;
+  const double window_s_;  // time within which queued work must be done
 };
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/expected_capacity.cc
+++ b/src/core/autoscaling/expected_capacity.cc
@@ -20,17 +20,18 @@
                                         double window_s) const {
   const double ran_s =
       attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
-  const double left_s = jobs_->Estimate(job.spec()) - ran_s;
+  const double remaining_s = jobs_->Estimate(job.spec()) - ran_s;
   return DemandEstimator::CpuEquivalent(job.spec(), type) *
-         std::clamp(left_s, kMinEstimateS, window_s);
+         std::clamp(remaining_s, kMinEstimateS, window_s);
 }
 
-std::vector<ExpectedMachine> ExpectedCapacity::Machines(double window_s) const {
+std::vector<ExpectedMachine> ExpectedCapacity::ListExpected(
+    double window_s) const {
   std::vector<ExpectedMachine> expected;
   for (const auto& [name, machine] : machines_->all()) {
     if (!CountsAsCapacity(*machine)) continue;
     const double cpus =
-        machine->type->cpus * ExpectedAvailability(*machine, context_->now);
+        machine->type->cpus * EstimateAvailability(*machine, context_->now);
     ExpectedMachine entry{machine->type, machine->zone, machine->spot, cpus,
                           cpus * window_s};
     for (const auto& [task, attempt] : machine->attempts)
@@ -39,7 +40,7 @@
             UsedCpuSeconds(attempt, *job, *machine->type, window_s);
     expected.push_back(entry);
   }
-  for (const ProvisioningRecord* record : requests_->Unanswered()) {
+  for (const ProvisioningRecord* record : requests_->ListUnanswered()) {
     const MachineType* type = catalog_->FindType(record->type);
     for (int i = 0; type && i < record->count; ++i)
       expected.push_back({type, record->zone, record->spot, type->cpus,
@@ -48,13 +49,13 @@
   return expected;
 }
 
-double ExpectedCapacity::TotalCpus(const ScaleOutPlan& plan) const {
+double ExpectedCapacity::SumCpus(const ScaleOutPlan& plan) const {
   double cpus = 0;
   for (const auto& [name, machine] : machines_->all())
     if (CountsAsCapacity(*machine))
       cpus +=
-          machine->type->cpus * ExpectedAvailability(*machine, context_->now);
-  for (const ProvisioningRecord* record : requests_->Unanswered())
+          machine->type->cpus * EstimateAvailability(*machine, context_->now);
+  for (const ProvisioningRecord* record : requests_->ListUnanswered())
     if (const MachineType* type = catalog_->FindType(record->type))
       cpus += record->count * type->cpus;
   for (const Offer& offer : catalog_->offers())
--- a/src/core/autoscaling/expected_capacity.h
+++ b/src/core/autoscaling/expected_capacity.h
@@ -1,4 +1,4 @@
-// The machines that are up, booting or asked for, and what of them is free.
+// The machines that are up, booting or requested, and their free capacity.
 #pragma once
 
 #include <string>
@@ -13,17 +13,18 @@
 
 namespace sorrelwood {
 
-// One machine of the fleet as it is planned with.
+// One machine as the planners see it.
 struct ExpectedMachine {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
   double cpus = 0;  // fewer than the type's while its boot is late
-  // Free within the planning window; negative where more runs there.
+  // Free within the planning window; negative where the tasks take more.
   double free_cpu_seconds = 0;
 };
 
-// The machine is counted on: it is up or booting, and is not about to go.
+// Whether the machine counts as capacity: it is up or booting, and is neither
+// lost nor about to be removed.
 bool CountsAsCapacity(const Machine& machine);
 
 class ExpectedCapacity {
@@ -38,12 +39,13 @@
         catalog_(catalog),
         requests_(requests) {}
 
-  // Machines of the fleet by name, then those that were asked for by request;
-  // free time is counted within the next `window_s` seconds.
-  std::vector<ExpectedMachine> Machines(double window_s) const;
+  // Machines of the fleet in the order of names, then those of unanswered
+  // requests in the order of requests. `window_s`: the planning window, from
+  // now.
+  std::vector<ExpectedMachine> ListExpected(double window_s) const;
 
-  // CPUs of the fleet, of what was asked for, and of `plan`.
-  double TotalCpus(const ScaleOutPlan& plan) const;
+  // CPUs of the fleet, of unanswered requests and of `plan`.
+  double SumCpus(const ScaleOutPlan& plan) const;
 
  private:
   double UsedCpuSeconds(const TaskAttempt& attempt, const Job& job,
--- a/src/core/autoscaling/headroom_planner.cc
+++ b/src/core/autoscaling/headroom_planner.cc
@@ -18,19 +18,19 @@
 
 }  // namespace
 
-double HeadroomPlanner::ZoneSlots::Covered() const {
+double HeadroomPlanner::ZoneSlots::SumUsable() const {
   double sum = 0;
   for (const auto& [zone, count] : slots) sum += std::min(count, max_per_zone);
   return sum;
 }
 
 bool HeadroomPlanner::ZoneSlots::IsFull(const std::string& zone) const {
-  const auto it = slots.find(zone);
-  return it != slots.end() && it->second >= max_per_zone;
+  const auto zone_slots = slots.find(zone);
+  return zone_slots != slots.end() && zone_slots->second >= max_per_zone;
 }
 
-bool HeadroomPlanner::AwaitsUnseenClass() const {
-  // While there is no work at all nothing is kept for what may come.
+bool HeadroomPlanner::ExpectsUnseenClass() const {
+  // While there are no jobs at all, no headroom is kept.
   return !jobs_->all().empty() &&
          std::any_of(settings_->objectives.begin(), settings_->objectives.end(),
                      [&](const Objective& objective) {
@@ -40,18 +40,18 @@
                      });
 }
 
-const MachineType* HeadroomPlanner::CheapestType() const {
+const MachineType* HeadroomPlanner::FindCheapestType() const {
   const MachineType* cheapest = nullptr;
   for (const auto& [name, type] : catalog_->types())
     if (!cheapest || type.price < cheapest->price) cheapest = &type;
   return cheapest;
 }
 
-std::vector<Headroom> HeadroomPlanner::Needs() const {
+std::vector<Headroom> HeadroomPlanner::ComputeNeeds() const {
   std::vector<Headroom> needs = placement_->headroom().Needs();
-  const MachineType* type = CheapestType();
-  if (!type || !AwaitsUnseenClass()) return needs;
-  // Its jobs may be of any size: each slot is a whole machine.
+  const MachineType* type = FindCheapestType();
+  if (!type || !ExpectsUnseenClass()) return needs;
+  // Jobs of an unseen class may be of any size: each slot is a whole machine.
   Headroom need;
   need.slots = kUnseenClassHeadroomMachines;
   need.profile.spec.shape = JobShape::kService;
@@ -62,8 +62,7 @@
   return needs;
 }
 
-// --- Machines that are up
-// ----------------------------------------------------
+// --- Machines that are up ---
 
 void HeadroomPlanner::SelectMachines() {
   std::vector<Machine*> candidates;
@@ -72,7 +71,7 @@
     if (CountsAsCapacity(*machine) && machine->lifecycle.token_acknowledged)
       candidates.push_back(machine.get());
   }
-  const std::vector<Headroom> needs = Needs();
+  const std::vector<Headroom> needs = ComputeNeeds();
   if (needs.empty()) return;
   std::stable_sort(candidates.begin(), candidates.end(),
                    [](const Machine* a, const Machine* b) {
@@ -80,32 +79,33 @@
                        return a->role.for_services;
                      return PricePerCpu(*a) < PricePerCpu(*b);
                    });
-  for (const Headroom& need : needs) Reserve(need, candidates);
+  for (const Headroom& need : needs) ReserveMachines(need, candidates);
 }
 
-void HeadroomPlanner::Reserve(const Headroom& need,
-                              const std::vector<Machine*>& candidates) {
+void HeadroomPlanner::ReserveMachines(const Headroom& need,
+                                      const std::vector<Machine*>& candidates) {
   const double max_per_zone = need.SlotsPerZone();
   std::map<std::string, double> reserved;  // slots, by zone
-  double left = need.slots;
+  double slots_left = need.slots;
   for (Machine* machine : candidates) {
-    if (left < 1) break;
-    // Excess machines hold headroom too. What is excess is chosen after this.
+    if (slots_left < 1) break;
+    // A machine that was excess may hold headroom: excess machines are selected
+    // anew after this.
     machine->role.excess = false;
-    const double slots = std::min({left, max_per_zone - reserved[machine->zone],
-                                   PreemptibleSlots(*machine, need.profile)});
+    const double slots =
+        std::min({slots_left, max_per_zone - reserved[machine->zone],
+                  PreemptibleSlots(*machine, need.profile)});
     if (slots < 1) continue;
     reserved[machine->zone] += slots;
-    left -= slots;
+    slots_left -= slots;
     machine->role.for_services = true;
   }
 }
 
-// --- Machines to be provisioned
-// ----------------------------------------------
+// --- Machines to be provisioned ---
 
 void HeadroomPlanner::Plan(ScaleOutPlan* plan) {
-  for (Headroom& need : Needs()) {
+  for (Headroom& need : ComputeNeeds()) {
     for (const auto& [id, job] : jobs_->all())
       if (job->spec().job_class == need.job_class && !job->failing())
         need.slots += job->progress.pending.size();
@@ -114,16 +114,16 @@
 }
 
 void HeadroomPlanner::PlanNeed(const Headroom& need, ScaleOutPlan* plan) const {
-  ZoneSlots free = ExpectedSlots(need, *plan);
-  while (free.Covered() < need.slots) {
-    const Offer* offer = CheapestOffer(need.profile, free);
+  ZoneSlots free = CountExpectedSlots(need, *plan);
+  while (free.SumUsable() < need.slots) {
+    const Offer* offer = FindCheapestOffer(need.profile, free);
     if (!offer) return;
     plan->AddMachine(*offer);
     AddEmptyMachines(need, *offer->type, offer->zone, offer->spot, 1, &free);
   }
 }
 
-HeadroomPlanner::ZoneSlots HeadroomPlanner::ExpectedSlots(
+HeadroomPlanner::ZoneSlots HeadroomPlanner::CountExpectedSlots(
     const Headroom& need, const ScaleOutPlan& plan) const {
   ZoneSlots free{need.SlotsPerZone(), {}};
   for (const auto& [name, machine] : machines_->all()) {
@@ -132,9 +132,9 @@
       free.slots[machine->zone] += PreemptibleSlots(*machine, need.profile);
     else
       AddEmptyMachines(need, *machine->type, machine->zone, machine->spot,
-                       ExpectedAvailability(*machine, context_->now), &free);
+                       EstimateAvailability(*machine, context_->now), &free);
   }
-  for (const ProvisioningRecord* record : requests_->Unanswered())
+  for (const ProvisioningRecord* record : requests_->ListUnanswered())
     if (const MachineType* type = catalog_->FindType(record->type))
       AddEmptyMachines(need, *type, record->zone, record->spot, record->count,
                        &free);
@@ -153,13 +153,13 @@
     free->slots[zone] += machines * SlotsOnType(type, need.profile);
 }
 
-const Offer* HeadroomPlanner::CheapestOffer(const ClassProfile& usual,
-                                            const ZoneSlots& free) const {
+const Offer* HeadroomPlanner::FindCheapestOffer(const ClassProfile& profile,
+                                                const ZoneSlots& free) const {
   const Offer* best = nullptr;
   for (const Offer& offer : catalog_->offers()) {
     if (catalog_->IsSuspended(offer) || free.IsFull(offer.zone) ||
-        SlotsOnType(*offer.type, usual) < 1 ||
-        !AllowsLocation(usual.spec, *offer.type, offer.zone, offer.spot))
+        SlotsOnType(*offer.type, profile) < 1 ||
+        !AllowsLocation(profile.spec, *offer.type, offer.zone, offer.spot))
       continue;
     if (!best || offer.PricePerCpu() < best->PricePerCpu()) best = &offer;
   }
--- a/src/core/autoscaling/headroom_planner.h
+++ b/src/core/autoscaling/headroom_planner.h
@@ -1,5 +1,5 @@
-// Headroom for services: machines on which replicas that are yet to come find
-// room at once.
+// Headroom for services: machines kept so that future replicas can start at
+// once.
 #pragma once
 
 #include <map>
@@ -33,43 +33,46 @@
         requests_(requests),
         settings_(settings) {}
 
-  // Marks the machines that hold replicas or are kept for further ones
-  // (FleetRole::for_services): first those that hold replicas, then the
-  // cheapest.
+  // Marks the machines that hold replicas or are kept for future ones
+  // (FleetRole::for_services). Headroom goes first to machines that hold
+  // replicas, then to the cheapest.
   void SelectMachines();
 
-  // Adds machines for the headroom that what is up, booting, asked for and in
-  // `plan` does not hold.
+  // Adds machines for the headroom that has no room on the machines that are
+  // up, booting, requested or in `plan`.
   void Plan(ScaleOutPlan* plan);
 
  private:
-  // Replicas that fit, by zone. In each zone no more than `max_per_zone` count,
-  // so that a job can be spread.
+  // Slots for replicas, by zone. At most `max_per_zone` count in each zone, so
+  // that a job can be spread.
   struct ZoneSlots {
     double max_per_zone = 0;
     std::map<std::string, double> slots;
 
-    double Covered() const;
+    double SumUsable() const;
     bool IsFull(const std::string& zone) const;
   };
 
-  // Headroom for classes that have been seen, and for those that have not.
-  std::vector<Headroom> Needs() const;
-  // A class that is to start at once has had no job yet.
-  bool AwaitsUnseenClass() const;
-  const MachineType* CheapestType() const;
+  // Headroom for classes that have had jobs, and for those that have not.
+  std::vector<Headroom> ComputeNeeds() const;
+  // Whether a class whose tasks must start at once has had no job yet.
+  bool ExpectsUnseenClass() const;
+  // Null if no type is known.
+  const MachineType* FindCheapestType() const;
 
-  static void Reserve(const Headroom& need,
-                      const std::vector<Machine*>& candidates);
+  static void ReserveMachines(const Headroom& need,
+                              const std::vector<Machine*>& candidates);
   void PlanNeed(const Headroom& need, ScaleOutPlan* plan) const;
-  ZoneSlots ExpectedSlots(const Headroom& need, const ScaleOutPlan& plan) const;
-  // Counts `machines` empty machines, if replicas may run there.
+  ZoneSlots CountExpectedSlots(const Headroom& need,
+                               const ScaleOutPlan& plan) const;
+  // Adds the slots of `machines` empty machines to `free`, if replicas may run
+  // there.
   static void AddEmptyMachines(const Headroom& need, const MachineType& type,
                                const std::string& zone, bool spot,
                                double machines, ZoneSlots* free);
   // Null if no offer is suitable.
-  const Offer* CheapestOffer(const ClassProfile& usual,
-                             const ZoneSlots& free) const;
+  const Offer* FindCheapestOffer(const ClassProfile& profile,
+                                 const ZoneSlots& free) const;
 
   const Context* context_;
   JobTable* jobs_;
--- a/src/core/autoscaling/idle_releaser.cc
+++ b/src/core/autoscaling/idle_releaser.cc
@@ -7,9 +7,9 @@
 namespace sorrelwood {
 namespace {
 
-// Nothing runs there or is about to, and nothing is still to be recorded. A
-// machine that has not shown the fencing token may hold tasks that are not
-// known here.
+// Whether the machine has no tasks, no reservations and no completions still to
+// be recorded. A machine that has not acknowledged the fencing token may run
+// tasks that this leader does not know.
 bool IsEmpty(const Machine& machine) {
   return machine.attempts.empty() && machine.unrecorded_completions.empty() &&
          machine.lifecycle.token_acknowledged && !machine.HasReservations();
@@ -18,21 +18,21 @@
 }  // namespace
 
 void IdleReleaser::Run() {
-  const BootHistory boots(machines_);
+  const BootHistory boot_history(machines_);
   for (auto& [name, machine] : machines_->all()) {
     if (machine->lifecycle.terminating || !machine->type) continue;
     if (!machine->lifecycle.ever_reported) {
-      if (boots.HasTimedOut(*machine, context_->now))
+      if (boot_history.HasTimedOut(*machine, context_->now))
         releases_->Release(machine.get(), ReleaseReason::kBootTimeout);
     } else if (!IsEmpty(*machine)) {
       machine->lifecycle.idle_since = 0;
     } else {
-      RunEmptyMachine(machine.get());
+      ReleaseEmptyMachineIfDue(machine.get());
     }
   }
 }
 
-void IdleReleaser::RunEmptyMachine(Machine* machine) {
+void IdleReleaser::ReleaseEmptyMachineIfDue(Machine* machine) {
   const double now = context_->now;
   if (machine->health.quarantined) {
     if (now >= machine->health.suspect_until)
@@ -47,7 +47,7 @@
   if (machine->role.baseline || machine->role.for_services) return;
   const double idle_since =
       std::max(machine->lifecycle.idle_since, work_blocked_at_.value_or(0));
-  if (now - idle_since > hold_s_)
+  if (now - idle_since > release_delay_s_)
     releases_->Release(machine, ReleaseReason::kIdle);
 }
 
--- a/src/core/autoscaling/idle_releaser.h
+++ b/src/core/autoscaling/idle_releaser.h
@@ -1,5 +1,4 @@
-// Scale-in: releases machines that have nothing to do, and those that never
-// will.
+// Scale-in: releases idle machines, and those that cannot run tasks.
 #pragma once
 
 #include <optional>
@@ -19,29 +18,29 @@
       : context_(context),
         machines_(machines),
         releases_(releases),
-        hold_s_(policy.idle_release_delay_s) {}
+        release_delay_s_(policy.idle_release_delay_s) {}
 
-  // No work can start now, whatever is queued: the time does not count as idle.
-  // Prevents the release of machines that queued work will need, when the state
-  // service is out or a takeover is not complete.
+  // Called while no tasks can start, whatever is queued: this time does not
+  // count as idle. Prevents the release of machines that queued work will need
+  // once an outage of the state service or a takeover has ended.
   void OnWorkBlocked() { work_blocked_at_ = context_->now; }
 
-  // Releases machines that have not come up in time, and empty ones that are
-  // faulty, under a preemption notice, or idle beyond the operators' hold time.
-  // The baseline and machines for services are never idle.
+  // Releases machines whose boot has timed out, and empty ones that are faulty,
+  // under a preemption notice, or idle for longer than the operators' hold
+  // time. The baseline and machines for services are never idle.
   void Run();
 
-  // The lead is lost.
+  // Called when leadership is lost.
   void Clear() { work_blocked_at_.reset(); }
 
  private:
-  void RunEmptyMachine(Machine* machine);
+  void ReleaseEmptyMachineIfDue(Machine* machine);
 
   const Context* context_;
   MachineTable* machines_;
   MachineReleases* releases_;
-  const double hold_s_;
-  std::optional<double> work_blocked_at_;  // the latest time, steady clock (s)
+  const double release_delay_s_;
+  std::optional<double> work_blocked_at_;  // last time; steady clock, s
 };
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/inventory_reconciler.cc
+++ b/src/core/autoscaling/inventory_reconciler.cc
@@ -9,63 +9,68 @@
 
 void InventoryReconciler::Clear() {
   ++generation_;
-  reading_ = known_ = false;
-  pages_ = 1;
+  read_in_flight_ = known_ = false;
+  page_count_ = 1;
   next_read_at_ = 0;
 }
 
 double InventoryReconciler::IntervalS() const {
   return std::max(kInventoryIntervalS,
-                  static_cast<double>(pages_) /
+                  static_cast<double>(page_count_) /
                       (quota_->CallsPerS() * kInventoryCallShare));
 }
 
 void InventoryReconciler::Tick() {
-  if (!reading_ && context_->now >= next_read_at_ && quota_->TryAcquire())
+  if (!read_in_flight_ && context_->now >= next_read_at_ &&
+      quota_->TryAcquire())
     Read();
 }
 
 void InventoryReconciler::Read() {
-  reading_ = true;
+  read_in_flight_ = true;
   next_read_at_ = context_->now + IntervalS();
   const double page_pause_s = 1 / quota_->CallsPerS();
-  context_->ListMachines(
-      page_pause_s, [this, sent_at = context_->now,
-                     generation = generation_](const CloudResult& result) {
-        if (generation != generation_) return;
-        reading_ = false;
-        // Each page was a call; the first one has been paid for.
-        const size_t further_pages = result.listed.size() / kInventoryPageSize;
-        quota_->Charge(static_cast<double>(further_pages));
-        pages_ = further_pages + 1;
-        if (result.outcome == Outcome::kOk) Reconcile(result.listed, sent_at);
-      });
+  context_->ListMachines(page_pause_s,
+                         [this, read_started_at = context_->now,
+                          generation = generation_](const CloudResult& result) {
+                           if (generation != generation_) return;
+                           read_in_flight_ = false;
+                           // Each page was a call; the first one has been
+                           // charged already.
+                           const size_t further_pages =
+                               result.listed.size() / kInventoryPageMachines;
+                           quota_->Charge(static_cast<double>(further_pages));
+                           page_count_ = further_pages + 1;
+                           if (result.outcome == Outcome::kOk)
+                             Reconcile(result.listed, read_started_at);
+                         });
 }
 
 void InventoryReconciler::Reconcile(const std::vector<ListedMachine>& inventory,
-                                    double sent_at) {
+                                    double read_started_at) {
   known_ = true;
   std::set<std::string> listed;
   for (const ListedMachine& item : inventory) {
     listed.insert(item.name);
     AddListed(item);
   }
-  ReleaseUnlisted(listed, sent_at);
+  ReleaseUnlisted(listed, read_started_at);
 }
 
 void InventoryReconciler::AddListed(const ListedMachine& listed) {
-  if (machines_->IsGone(listed.name)) return;  // the inventory lags
+  if (machines_->WasRemoved(listed.name)) return;  // the inventory lags
   const double provisioned_at = context_->now - listed.age_s;
   Machine* machine = machines_->Find(listed.name);
-  // A provisioning request that was carried out late: used like any other.
+  // An unknown machine comes from a provisioning request that was carried out
+  // late: it is used like any other.
   if (!machine || !machine->lifecycle.identity_confirmed)
     machine = RegisterMachine(
         machines_, *catalog_,
         {listed.name, {listed.type, listed.zone, listed.spot}, provisioned_at});
-  // Only the inventory tells when an earlier leader provisioned a machine.
+  // Only the inventory shows when an earlier leader provisioned a machine.
   if (!machine->lifecycle.ever_reported)
-    machine->lifecycle.rented_at =
-        std::min(machine->lifecycle.rented_at, provisioned_at);
+    machine->lifecycle.provisioned_at =
+        std::min(machine->lifecycle.provisioned_at, provisioned_at);
   machine->lifecycle.listed = machine->lifecycle.identity_confirmed = true;
   machine->lifecycle.unlisted_since = 0;
   if (machine->address.empty()) machine->address = listed.address;
@@ -73,14 +78,15 @@
     releases_->Release(machine, ReleaseReason::kFailedInCloud);
 }
 
-// A machine that is not in the inventory is released all the same: the cloud's
-// answer is the proof that it is gone, an inventory alone is none.
+// Machines that are not in the inventory are released by a call like any other:
+// only the cloud's answer to it proves that a machine no longer exists, an
+// inventory alone does not.
 void InventoryReconciler::ReleaseUnlisted(const std::set<std::string>& listed,
-                                          double sent_at) {
+                                          double read_started_at) {
   for (auto& [name, machine] : machines_->all()) {
     MachineLifecycle& lifecycle = machine->lifecycle;
     if (listed.count(name) || lifecycle.terminating) continue;
-    if (IsMissingAtTakeover(*machine, sent_at)) {
+    if (IsMissingAtTakeover(*machine, read_started_at)) {
       releases_->Release(machine.get(), ReleaseReason::kMissingAtTakeover);
       continue;
     }
@@ -91,26 +97,28 @@
   }
 }
 
-// It was provisioned before this leader was elected. An inventory so much later
-// lacks it only if it is gone and the removal of its record was lost. Prevents
-// a takeover from waiting for machines that no longer exist, however many.
+// The machine was provisioned before this leader was elected. An inventory that
+// is later by more than the lag lacks it only if it no longer exists and the
+// removal of its record was lost. Prevents a takeover from waiting for any
+// number of machines that no longer exist.
 bool InventoryReconciler::IsMissingAtTakeover(const Machine& machine,
-                                              double sent_at) const {
+                                              double read_started_at) const {
   return machine.lifecycle.from_earlier_term && !machine.lifecycle.listed &&
-         sent_at > machine.lifecycle.rented_at +
-                       2 * settings_->cloud_list_lag_s + kInventoryLagMarginS &&
+         read_started_at > machine.lifecycle.provisioned_at +
+                               2 * settings_->cloud_list_lag_s +
+                               kInventoryLagMarginS &&
          IsSilent(machine);
 }
 
 bool InventoryReconciler::HasLeft(const Machine& machine) const {
-  const double lag_s = 2 * settings_->cloud_list_lag_s + IntervalS();
-  return context_->now - machine.lifecycle.unlisted_since > lag_s &&
+  const double max_lag_s = 2 * settings_->cloud_list_lag_s + IntervalS();
+  return context_->now - machine.lifecycle.unlisted_since > max_lag_s &&
          IsSilent(machine);
 }
 
 bool InventoryReconciler::IsSilent(const Machine& machine) const {
   return context_->now - machine.contact.last_contact_at >
-         kSilentHeartbeats * settings_->heartbeat_interval_s;
+         kSilentHeartbeatIntervals * settings_->heartbeat_interval_s;
 }
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/inventory_reconciler.h
+++ b/src/core/autoscaling/inventory_reconciler.h
@@ -1,5 +1,6 @@
-// Reconciles the machine table with the cloud's inventory: finds machines that
-// are not in the table, and those that are no longer in the inventory.
+// Reconciles the machine table with the cloud's inventory: adds machines that
+// are missing from the table, and releases those that are no longer in the
+// inventory.
 #pragma once
 
 #include <cstdint>
@@ -30,29 +31,32 @@
         releases_(releases),
         settings_(settings) {}
 
-  // Reads the inventory when it is time and the quota allows it.
+  // Reads the inventory when a read is due and the quota allows it.
   void Tick();
 
-  // The lead is lost: an inventory that is still to come is ignored.
+  // Called when leadership is lost: the result of a read in flight is ignored.
   void Clear();
 
-  // The inventory has been read since this leader was elected.
+  // Whether the inventory has been read since this leader was elected.
   bool known() const { return known_; }
 
  private:
-  // Seconds between two reads: longer the more pages there are, each of which
-  // is one of the cloud's calls.
+  // Time between two reads: longer for more pages, since each page is one call.
   double IntervalS() const;
   void Read();
-  // `sent_at`: when the read began (steady clock, s).
-  void Reconcile(const std::vector<ListedMachine>& inventory, double sent_at);
+  // `read_started_at`: steady clock, s.
+  void Reconcile(const std::vector<ListedMachine>& inventory,
+                 double read_started_at);
   void AddListed(const ListedMachine& listed);
-  void ReleaseUnlisted(const std::set<std::string>& listed, double sent_at);
-  // The machine, which was not in an inventory read at `sent_at`, was recorded
-  // by an earlier leader and has never been in one.
-  bool IsMissingAtTakeover(const Machine& machine, double sent_at) const;
-  // It was in the inventory, and has been missing for longer than the
-  // inventory may lag.
+  void ReleaseUnlisted(const std::set<std::string>& listed,
+                       double read_started_at);
+  // Whether the machine, which is not in the inventory read at
+  // `read_started_at`, was recorded by an earlier leader and has never been in
+  // an inventory of this leader.
+  bool IsMissingAtTakeover(const Machine& machine,
+                           double read_started_at) const;
+  // Whether the machine was in the inventory, and has been missing for longer
+  // than the inventory may lag.
   bool HasLeft(const Machine& machine) const;
   bool IsSilent(const Machine& machine) const;
 
@@ -62,11 +66,11 @@
   CloudCallQuota* quota_;
   MachineReleases* releases_;
   const ClusterSettings* settings_;
-  uint64_t generation_ = 0;  // results of an earlier one are ignored
-  bool reading_ = false;
+  uint64_t generation_ = 0;  // results of an earlier generation are ignored
+  bool read_in_flight_ = false;
   bool known_ = false;
-  size_t pages_ = 1;  // of the latest inventory
-  double next_read_at_ = 0;
+  size_t page_count_ = 1;    // of the latest inventory
+  double next_read_at_ = 0;  // steady clock, s; 0: at once
 };
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/low_cost_scale_out.h
+++ b/src/core/autoscaling/low_cost_scale_out.h
@@ -1,5 +1,5 @@
 // Scale-out at low cost: machines for queued work that the expected capacity
-// does not work off soon enough.
+// would not complete soon enough.
 #pragma once
 
 #include <map>
@@ -29,36 +29,36 @@
         selector_(catalog, demand, policy.backlog_limit_s),
         window_s_(policy.backlog_limit_s) {}
 
-  // Adds machines for the work that may start within its teams' limits and
-  // would wait longer than the operators' drain time.
+  // Adds machines for work that may start within its teams' limits and would
+  // not be done within the operators' backlog limit.
   void Plan(ScaleOutPlan* plan);
 
  private:
-  // The tasks of one job while they are assigned to machines.
+  // The startable tasks of one job while they are assigned to machines.
   struct JobDemand {
     const Job& job;
-    double tasks = 0;                             // still to be assigned
-    std::map<std::string, double> tasks_in_zone;  // assigned so far
+    double unassigned_tasks = 0;
+    std::map<std::string, double> assigned_tasks_in_zone;
   };
 
   void AssignToExpected(JobDemand* demand,
                         std::vector<ExpectedMachine>* machines) const;
   void AssignToNew(JobDemand* demand, std::vector<ExpectedMachine>* machines,
                    ScaleOutPlan* plan) const;
-  // Assigns `tasks` tasks, of `task_cpu_seconds` each.
+  // Assigns `tasks` tasks of `task_cpu_seconds` each to the machine.
   static void Assign(double tasks, double task_cpu_seconds, JobDemand* demand,
                      ExpectedMachine* machine);
-  // Tasks that may still go to the zone: a job that is to be spread has no more
-  // than half of its tasks in one.
-  static double TasksAllowedInZone(const JobDemand& demand,
-                                   const std::string& zone);
+  // Tasks that may still be assigned to the zone: a job that must be spread has
+  // at most half of its tasks in one zone.
+  static double CountTasksAllowedInZone(const JobDemand& demand,
+                                        const std::string& zone);
 
   JobTable* jobs_;
   const OfferCatalog* catalog_;
   const DemandEstimator* demand_;
   const ExpectedCapacity* capacity_;
   const OfferSelector selector_;
-  const double window_s_;
+  const double window_s_;  // time within which queued work must be done
 };
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/machine_registration.cc
+++ b/src/core/autoscaling/machine_registration.cc
@@ -9,7 +9,7 @@
   machine->type = catalog.FindType(provisioned.pool.type);
   machine->zone = provisioned.pool.zone;
   machine->spot = provisioned.pool.spot;
-  machine->lifecycle.rented_at = provisioned.provisioned_at;
+  machine->lifecycle.provisioned_at = provisioned.provisioned_at;
   return machine;
 }
 
--- a/src/core/autoscaling/machine_registration.h
+++ b/src/core/autoscaling/machine_registration.h
@@ -1,4 +1,4 @@
-// Takes machines of the cloud into the machine table.
+// Adds machines of the cloud to the machine table.
 #pragma once
 
 #include <string>
@@ -8,14 +8,14 @@
 
 namespace sorrelwood {
 
-// A machine as a provisioning request or the cloud's inventory names it.
+// A machine as described by a provisioning request or the cloud's inventory.
 struct ProvisionedMachine {
   std::string name;
   CapacityPool pool;
   double provisioned_at = 0;  // steady clock, s
 };
 
-// Adds the machine, or overwrites these fields of the one that is there.
+// Adds the machine, or overwrites these fields of the existing one.
 Machine* RegisterMachine(MachineTable* machines, const OfferCatalog& catalog,
                          const ProvisionedMachine& provisioned);
 
--- a/src/core/autoscaling/machine_releases.cc
+++ b/src/core/autoscaling/machine_releases.cc
@@ -16,7 +16,7 @@
 }
 
 void MachineReleases::Send(double dispatch_deadline) {
-  if (releases_.empty() || CallInFlight() || !quota_->TryAcquire()) return;
+  if (releases_.empty() || IsCallInFlight() || !quota_->TryAcquire()) return;
   std::vector<std::string> names;
   for (auto& [name, state] : releases_) {
     if (names.size() >= kMaxMachinesPerRelease) break;
@@ -30,7 +30,7 @@
       });
 }
 
-bool MachineReleases::CallInFlight() const {
+bool MachineReleases::IsCallInFlight() const {
   return std::any_of(releases_.begin(), releases_.end(), [](const auto& item) {
     return item.second == ReleaseState::kCalling;
   });
@@ -40,19 +40,19 @@
                                const CloudResult& result) {
   for (const std::string& name : names) {
     if (result.outcome == Outcome::kOk)
-      OnGone(name);
+      OnMachineGone(name);
     else
       releases_[name] = ReleaseState::kRequested;
   }
 }
 
-void MachineReleases::OnGone(const std::string& name) {
+void MachineReleases::OnMachineGone(const std::string& name) {
   releases_.erase(name);
   Machine* machine = machines_->Find(name);
   if (!machine) return;
   if (machine->lifecycle.recorded || machine->lifecycle.recording)
     writer_->Remove(keys::Machine(name));
-  if (on_gone) on_gone(machine);
+  if (on_machine_gone) on_machine_gone(machine);
   machines_->Remove(name);
   requests_->OnMachineRecorded(name);
 }
--- a/src/core/autoscaling/machine_releases.h
+++ b/src/core/autoscaling/machine_releases.h
@@ -1,5 +1,5 @@
-// The end of a machine: released to the cloud, and forgotten only once the
-// cloud has confirmed it.
+// Releases machines to the cloud, and removes them from the machine table only
+// once the cloud has confirmed the release.
 #pragma once
 
 #include <cstdint>
@@ -17,11 +17,11 @@
 
 namespace sorrelwood {
 
-// Where the release of a machine stands. A machine that the cloud has confirmed
-// to be gone has none: it is out of the machine table.
+// The state of the release of a machine. A confirmed release has no state: the
+// machine is removed from the machine table.
 enum class ReleaseState {
-  kRequested,  // the cloud is to be called, again after a failure
-  kCalling,    // in the call that is under way
+  kRequested,  // the cloud must be called, also again after a failure
+  kCalling,    // part of the call in flight
 };
 
 class MachineReleases {
@@ -35,34 +35,35 @@
         quota_(quota),
         requests_(requests) {}
 
-  // Called when the cloud has confirmed that the machine is gone, just before
-  // it is removed from the machine table.
-  std::function<void(Machine*)> on_gone;
+  // Called when the cloud has confirmed that the machine no longer exists, just
+  // before it is removed from the machine table.
+  std::function<void(Machine*)> on_machine_gone;
 
-  // Releases the machine, unless that is under way. Until the cloud confirms,
-  // its tasks count as running there: a task must never run twice.
+  // Releases the machine, unless its release is already in progress. Until the
+  // cloud confirms the release, its tasks count as running there: a task must
+  // never run twice.
   void Release(Machine* machine, ReleaseReason reason);
 
-  // Calls the cloud for machines to be released: one call at a time, each for
-  // up to kMaxMachinesPerRelease of them. A call that has not left by
-  // `dispatch_deadline` (steady clock, s) does not leave.
+  // Calls the cloud to release machines: one call in flight at a time, each for
+  // up to kMaxMachinesPerRelease of them. A call not sent by
+  // `dispatch_deadline` (steady clock, s) is dropped.
   void Send(double dispatch_deadline);
 
-  // The lead is lost: results that are still to come are ignored.
+  // Called when leadership is lost: results of calls in flight are ignored.
   void Clear();
 
  private:
-  bool CallInFlight() const;
+  bool IsCallInFlight() const;
   void OnResult(const std::vector<std::string>& names,
                 const CloudResult& result);
-  void OnGone(const std::string& name);
+  void OnMachineGone(const std::string& name);
 
   Context* context_;
   MachineTable* machines_;
   StateWriter* writer_;
   CloudCallQuota* quota_;
   ProvisioningRequests* requests_;
-  uint64_t generation_ = 0;  // results of an earlier one are ignored
+  uint64_t generation_ = 0;  // results of an earlier generation are ignored
   std::map<std::string, ReleaseState> releases_;  // by machine
 };
 
--- a/src/core/autoscaling/offer_catalog.cc
+++ b/src/core/autoscaling/offer_catalog.cc
@@ -11,7 +11,7 @@
 }
 
 void OfferCatalog::Update(const std::vector<MachineType>& types) {
-  // Entries stay where they are: machines point to them.
+  // Entries are overwritten in place: machines point to them.
   for (const MachineType& type : types) types_[type.name] = type;
   offers_.clear();
   for (const auto& [name, type] : types_) {
@@ -23,8 +23,8 @@
 }
 
 const MachineType* OfferCatalog::FindType(const std::string& name) const {
-  const auto it = types_.find(name);
-  return it == types_.end() ? nullptr : &it->second;
+  const auto entry = types_.find(name);
+  return entry == types_.end() ? nullptr : &entry->second;
 }
 
 void OfferCatalog::Suspend(const CapacityPool& pool, double pause_s) {
@@ -32,8 +32,9 @@
 }
 
 bool OfferCatalog::IsSuspended(const Offer& offer) const {
-  const auto it = suspended_until_.find(offer.Pool());
-  return it != suspended_until_.end() && context_->now < it->second;
+  const auto suspension = suspended_until_.find(offer.Pool());
+  return suspension != suspended_until_.end() &&
+         context_->now < suspension->second;
 }
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/offer_catalog.h
+++ b/src/core/autoscaling/offer_catalog.h
@@ -1,5 +1,5 @@
-// What the cloud offers: machine types by zone and purchase option, with their
-// prices, and which of these offers it has refused lately.
+// The cloud's offers: machine types by zone and purchase option, with their
+// prices, and which of these offers it has recently refused.
 #pragma once
 
 #include <compare>
@@ -14,23 +14,23 @@
 
 namespace sorrelwood {
 
-// Machines that the cloud provisions from the same stock: one machine type in
-// one zone, spot (preemptible) or on demand.
+// Capacity from which the cloud provisions machines: one machine type in one
+// zone, spot (preemptible) or on demand.
 struct CapacityPool {
-  std::string type;  // its name in the catalogue
+  std::string type;  // name in the catalogue
   std::string zone;
   bool spot = false;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
   auto operator<=>(const CapacityPool&) const = default;
 };
 
-// A capacity pool of the present catalogue with its price.
+// A capacity pool of the current catalogue with its price.
 struct Offer {
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
-  double price = 0;  // of one machine, per hour
+  double price = 0;  // of one machine per hour
 
   CapacityPool Pool() const { return {type->name, zone, spot}; }
   double PricePerCpu() const { return price / type->cpus; }
@@ -45,22 +45,22 @@
   OfferCatalog(const Context* context, const PolicySettings& policy)
       : context_(context), use_spot_(policy.use_spot) {}
 
-  // Takes over prices and new types. A type that the cloud names no longer
-  // stays known: machines point to it.
+  // Takes over prices and new types. Types that are missing from `types` are
+  // kept: machines point to them.
   void Update(const std::vector<MachineType>& types);
 
-  // Null if the catalogue has never named the type. Valid for ever.
+  // Null if no catalogue has contained the type. The pointer stays valid.
   const MachineType* FindType(const std::string& name) const;
   const std::map<std::string, MachineType>& types() const { return types_; }
 
-  // By type name, then in the catalogue's order of zones, spot first. Spot
-  // offers are left out where the operators exclude them. Valid until the next
-  // update.
+  // Sorted by type name, then in the catalogue's order of zones, spot before on
+  // demand. Spot offers are omitted if the operators exclude them. Valid until
+  // the next update.
   const std::vector<Offer>& offers() const { return offers_; }
 
-  // The cloud refused the pool, or gave fewer machines than were asked for: it
-  // is not offered for `pause_s` seconds. Prevents a pool without capacity from
-  // using up the cloud's call rate.
+  // Excludes the pool for `pause_s` seconds, because the cloud refused a
+  // request or provisioned fewer machines than requested. Prevents a pool
+  // without capacity from using up the cloud's call rate.
   void Suspend(const CapacityPool& pool, double pause_s);
   bool IsSuspended(const Offer& offer) const;
   void ClearSuspensions() { suspended_until_.clear(); }
--- a/src/core/autoscaling/offer_selector.h
+++ b/src/core/autoscaling/offer_selector.h
@@ -1,4 +1,4 @@
-// Chooses the offer on which a job's tasks cost least.
+// Selects the offer on which a job's tasks cost least.
 #pragma once
 
 #include <compare>
@@ -11,41 +11,43 @@
 
 namespace sorrelwood {
 
-// How much more than the cheapest suitable offer the chosen one may cost.
+// How much more than the cheapest suitable offer the selected one may cost.
 enum class PriceLimit {
-  kLowCost,  // less than kPremiumPriceRatio times as much
+  kLowCost,  // at most kPremiumPriceRatio times as much
   kAny,
 };
 
 class OfferSelector {
  public:
-  // Both pointers must outlive this object. Tasks may take `window_s` seconds
-  // to be worked off: the more of them a machine does within it, the cheaper it
-  // is.
+  // Both pointers must outlive this object. `window_s`: time within which the
+  // tasks must be done; the more of them a machine can do within it, the lower
+  // is their cost.
   OfferSelector(const OfferCatalog* catalog, const DemandEstimator* demand,
                 double window_s)
       : catalog_(catalog), demand_(demand), window_s_(window_s) {}
 
-  // The offer that does `tasks` tasks of the job at the least cost; among
-  // equals the one of which `plan` has least. Null if no offer is suitable.
-  const Offer* Cheapest(const Job& job, double tasks, PriceLimit limit,
-                        const ScaleOutPlan& plan,
-                        const std::set<std::string>& excluded_zones = {}) const;
+  // The offer with the lowest cost for `tasks` tasks of the job; among equals
+  // the one with the fewest machines in `plan`. Null if no offer is suitable.
+  const Offer* FindCheapest(
+      const Job& job, double tasks, PriceLimit limit, const ScaleOutPlan& plan,
+      const std::set<std::string>& excluded_zones = {}) const;
 
  private:
   // Members are compared in this order.
   struct Cost {
     double price_per_task = 0;
-    int planned = 0;  // machines of the offer that the plan has
-    // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
+    int planned = 0;  // machines of the offer in the plan
+
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
     auto operator<=>(const Cost&) const = default;
   };
 
-  // Prices are compared by what one task takes of a machine (per hour).
-  static double TaskPrice(const JobSpec& spec, const Offer& offer);
-  // Of all offers on which the job can run, suspended ones too: prevents the
-  // limit from rising while the cheap ones are refused. 0: there is none.
-  double LowestTaskPrice(const Job& job) const;
+  // The price per hour of the share of a machine that one task takes.
+  static double ComputeTaskPrice(const JobSpec& spec, const Offer& offer);
+  // The lowest task price of all offers on which the job can run, including
+  // suspended ones: prevents the limit from rising while the cheap offers are
+  // refused. 0: the job can run on no offer.
+  double FindLowestTaskPrice(const Job& job) const;
 
   const OfferCatalog* catalog_;
   const DemandEstimator* demand_;
--- a/src/core/autoscaling/premium_scale_out.cc
+++ b/src/core/autoscaling/premium_scale_out.cc
@@ -6,17 +6,17 @@
 
 namespace sorrelwood {
 
-double PremiumScaleOut::LongestBootS() const {
-  double longest = 0;
+double PremiumScaleOut::FindLongestBootS() const {
+  double longest_boot_s = 0;
   for (const auto& [name, type] : catalog_->types())
-    longest = std::max(longest, type.boot_s);
-  return longest;
+    longest_boot_s = std::max(longest_boot_s, type.boot_s);
+  return longest_boot_s;
 }
 
-PremiumScaleOut::Balance PremiumScaleOut::CurrentBalance(
+PremiumScaleOut::Balance PremiumScaleOut::ComputeBalance(
     const ScaleOutPlan& plan) const {
   Balance balance;
-  for (const ExpectedMachine& machine : capacity_->Machines(window_s_)) {
+  for (const ExpectedMachine& machine : capacity_->ListExpected(window_s_)) {
     balance.cpus += machine.cpus;
     balance.work_cpu_seconds +=
         machine.cpus * window_s_ - machine.free_cpu_seconds;
@@ -31,47 +31,50 @@
          !job.spec().IsService() && context_->now >= job.failures.retry_at;
 }
 
-double PremiumScaleOut::TimeAllowedS(const Job& job, double boot_s) const {
+double PremiumScaleOut::ComputeAllowedTimeS(const Job& job,
+                                            double longest_boot_s) const {
   const double slack_s =
       jobs_->Slack(job, settings_->objectives, context_->wall, window_s_);
-  // A deadline that is past, or that comes before a new machine could be up and
-  // do the work, is no reason to pay more.
-  return slack_s < kPremiumMinBootTimes * boot_s ? window_s_ : slack_s;
+  // A deadline that has passed, or that comes before a new machine could be up
+  // and do the work, does not justify a premium.
+  return slack_s < kPremiumMinBootTimes * longest_boot_s ? window_s_ : slack_s;
 }
 
-double PremiumScaleOut::TeamLimitCpuSeconds(const Job& job,
-                                            double time_s) const {
-  double limit = 0;
+double PremiumScaleOut::ComputeTeamLimitCpuSeconds(const Job& job,
+                                                   double allowed_s) const {
+  double limit_cpu_seconds = 0;
   for (const Team& team : settings_->teams)
-    if (team.name == job.spec().team) limit = team.cpus_max * time_s;
-  return limit;
+    if (team.name == job.spec().team)
+      limit_cpu_seconds = team.cpus_max * allowed_s;
+  return limit_cpu_seconds;
 }
 
 void PremiumScaleOut::Plan(ScaleOutPlan* plan) {
-  const double boot_s = LongestBootS();
-  Balance balance = CurrentBalance(*plan);
-  std::map<std::string, double> team_cpu_seconds;  // of jobs looked at so far
+  const double longest_boot_s = FindLongestBootS();
+  Balance balance = ComputeBalance(*plan);
+  std::map<std::string, double> cpu_seconds_by_team;  // of the jobs so far
   for (const Job* job : jobs_->queue()) {
     if (!MayNeedPremium(*job)) continue;
     const JobSpec& spec = job->spec();
-    const double time_s = TimeAllowedS(*job, boot_s);
+    const double allowed_s = ComputeAllowedTimeS(*job, longest_boot_s);
     const double tasks = job->progress.pending.size();
     const double task_cpu_seconds =
-        std::min(jobs_->Estimate(spec), time_s) * spec.cpus;
-    double& team_used = team_cpu_seconds[spec.team];
-    const double work =
+        std::min(jobs_->Estimate(spec), allowed_s) * spec.cpus;
+    double& team_cpu_seconds = cpu_seconds_by_team[spec.team];
+    const double work_cpu_seconds =
         std::min(tasks * task_cpu_seconds,
-                 std::max(0.0, TeamLimitCpuSeconds(*job, time_s) - team_used));
-    team_used += work;
-    balance.work_cpu_seconds += work;
+                 std::max(0.0, ComputeTeamLimitCpuSeconds(*job, allowed_s) -
+                                   team_cpu_seconds));
+    team_cpu_seconds += work_cpu_seconds;
+    balance.work_cpu_seconds += work_cpu_seconds;
     double missing_cpus =
-        balance.work_cpu_seconds / (time_s * kPremiumOverrunRatio) -
+        balance.work_cpu_seconds / (allowed_s * kPremiumOverrunRatio) -
         balance.cpus;
-    // No more than this job's own work can use.
-    double usable_cpus = work / time_s;
+    // The job's own work can use no more than this.
+    double usable_cpus = work_cpu_seconds / allowed_s;
     while (missing_cpus > 0 && usable_cpus > 0) {
       const Offer* offer =
-          selector_.Cheapest(*job, tasks, PriceLimit::kAny, *plan);
+          selector_.FindCheapest(*job, tasks, PriceLimit::kAny, *plan);
       if (!offer) break;
       plan->AddMachine(*offer);
       balance.cpus += offer->type->cpus;
--- a/src/core/autoscaling/premium_scale_out.h
+++ b/src/core/autoscaling/premium_scale_out.h
@@ -1,5 +1,5 @@
-// Scale-out at a premium: dearer machines, for jobs that would miss their
-// deadlines or objectives on those that cost least.
+// Scale-out at a premium: more expensive machines, for jobs that would miss
+// their deadlines or objectives if only low-cost machines were provisioned.
 #pragma once
 
 #include <map>
@@ -30,24 +30,26 @@
         selector_(catalog, demand, policy.backlog_limit_s),
         window_s_(policy.premium_backlog_limit_s) {}
 
-  // Adds machines, at any price, for jobs that the capacity that is there and
-  // in `plan` would finish too late.
+  // Adds machines at any price for jobs that the expected capacity and `plan`
+  // would finish too late.
   void Plan(ScaleOutPlan* plan);
 
  private:
-  // All work up to some place in the queue against all capacity.
+  // The work up to a position in the queue, and the capacity for it.
   struct Balance {
     double cpus = 0;
     double work_cpu_seconds = 0;
   };
 
-  Balance CurrentBalance(const ScaleOutPlan& plan) const;
-  double LongestBootS() const;
+  // The balance before the first queued job.
+  Balance ComputeBalance(const ScaleOutPlan& plan) const;
+  // The longest boot time of all types.
+  double FindLongestBootS() const;
   bool MayNeedPremium(const Job& job) const;
-  // How long the job's work may take (s).
-  double TimeAllowedS(const Job& job, double boot_s) const;
-  // What the job's team may run at most within `time_s`.
-  double TeamLimitCpuSeconds(const Job& job, double time_s) const;
+  // The time within which the job must be done.
+  double ComputeAllowedTimeS(const Job& job, double longest_boot_s) const;
+  // The most that the limit of the job's team allows within `allowed_s`.
+  double ComputeTeamLimitCpuSeconds(const Job& job, double allowed_s) const;
 
   const Context* context_;
   JobTable* jobs_;
@@ -55,7 +57,7 @@
   const ExpectedCapacity* capacity_;
   const ClusterSettings* settings_;
   const OfferSelector selector_;
-  const double window_s_;
+  const double window_s_;  // planning window; longest allowed time of a job
 };
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/provisioning_requests.cc
+++ b/src/core/autoscaling/provisioning_requests.cc
@@ -28,7 +28,7 @@
     request.record = record;
     request.requested_at = context_->now;
     for (const std::string& name : record.machines) {
-      if (machines_->Find(name)) continue;  // has a record of its own
+      if (machines_->Find(name)) continue;  // it has a record of its own
       Machine* machine = RegisterMachine(machines_, *catalog_,
                                          {name, PoolOf(record), context_->now});
       machine->lifecycle.identity_confirmed = true;
@@ -44,22 +44,23 @@
 }
 
 int ProvisioningRequests::MaxMachinesPerRequest() const {
-  // The record has to name all of them.
+  // The record must be able to name all machines of the request.
   const size_t bytes = limits_->value_bytes();
-  const size_t names =
+  const size_t max_names =
       bytes > kProvisioningRecordOverheadBytes
           ? (bytes - kProvisioningRecordOverheadBytes) / kMachineNameMaxBytes
           : 0;
-  return std::clamp(static_cast<int>(names), 1, kMaxMachinesPerProvisioning);
+  return std::clamp(static_cast<int>(max_names), 1,
+                    kMaxMachinesPerProvisioning);
 }
 
 void ProvisioningRequests::Provision(const Offer& offer, int count) {
-  const int most = MaxMachinesPerRequest();
-  for (int left = count; left > 0; left -= most)
-    Record(offer, std::min(left, most));
+  const int max_machines = MaxMachinesPerRequest();
+  for (int remaining = count; remaining > 0; remaining -= max_machines)
+    StartRequest(offer, std::min(remaining, max_machines));
 }
 
-void ProvisioningRequests::Record(const Offer& offer, int count) {
+void ProvisioningRequests::StartRequest(const Offer& offer, int count) {
   Request request;
   ProvisioningRecord& record = request.record;
   record.name =
@@ -77,14 +78,14 @@
   const std::string name = record.name;
   std::string value = protocol::EncodeProvisioningRecord(record);
   requests_[name] = std::move(request);
-  // The record comes before the call. Prevents a machine that nobody releases:
-  // the leader may crash after the call.
+  // The record is written before the call: if the leader crashes after the
+  // call, its successor knows of the machines and can release them.
   writer_->Put(keys::Rent(name), std::move(value),
                {[this, name] {
-                  const auto it = requests_.find(name);
-                  if (it != requests_.end() &&
-                      it->second.state == ProvisioningState::kRecording)
-                    it->second.state = ProvisioningState::kDue;
+                  const auto entry = requests_.find(name);
+                  if (entry != requests_.end() &&
+                      entry->second.state == ProvisioningState::kRecording)
+                    entry->second.state = ProvisioningState::kDue;
                 },
                 // Without a record nothing is provisioned.
                 [this, name] { requests_.erase(name); }, /*urgent=*/true});
@@ -94,11 +95,11 @@
   for (auto& [name, request] : requests_)
     if (request.state == ProvisioningState::kDue &&
         context_->now >= request.next_call_at && quota_->TryAcquire())
-      Call(name, &request, dispatch_deadline);
+      CallCloud(name, &request, dispatch_deadline);
 }
 
-void ProvisioningRequests::Call(const std::string& name, Request* request,
-                                double dispatch_deadline) {
+void ProvisioningRequests::CallCloud(const std::string& name, Request* request,
+                                     double dispatch_deadline) {
   request->state = ProvisioningState::kCalling;
   context_->Rent(
       request->record, dispatch_deadline,
@@ -109,19 +110,19 @@
 
 void ProvisioningRequests::OnResult(const std::string& name,
                                     const CloudResult& result) {
-  const auto it = requests_.find(name);
-  if (it == requests_.end()) return;
-  Request& request = it->second;
+  const auto entry = requests_.find(name);
+  if (entry == requests_.end()) return;
+  Request& request = entry->second;
   const CapacityPool pool = PoolOf(request.record);
   if (result.outcome == Outcome::kRefused && !result.too_late) {
     catalog_->Suspend(
         pool, result.no_capacity ? kNoCapacityPauseS : kCloudErrorPauseS);
-    End(name);
+    EndRequest(name);
     return;
   }
   if (result.outcome != Outcome::kOk) {
-    // It may have been carried out. The call is idempotent: under the same name
-    // the cloud provisions nothing twice and tells what it did.
+    // The call may have been carried out. It is idempotent: for the same name
+    // the cloud provisions machines only once and returns the same answer.
     request.state = ProvisioningState::kDue;
     request.next_call_at = context_->now + kProvisioningRetryS;
     return;
@@ -138,7 +139,7 @@
   request->record.answered = true;
   request->record.machines = machine_names;
   for (const std::string& machine_name : machine_names) {
-    if (machines_->IsGone(machine_name)) continue;
+    if (machines_->WasRemoved(machine_name)) continue;
     Machine* machine = machines_->Find(machine_name);
     if (!machine)
       machine = RegisterMachine(
@@ -149,7 +150,7 @@
       request->unrecorded_machines.insert(machine_name);
   }
   if (request->unrecorded_machines.empty())
-    End(name);
+    EndRequest(name);
   else
     writer_->Put(keys::Rent(name),
                  protocol::EncodeProvisioningRecord(request->record));
@@ -162,15 +163,15 @@
         request.unrecorded_machines.empty() &&
         request.state == ProvisioningState::kProvisioned)
       ended.push_back(name);
-  for (const std::string& name : ended) End(name);
+  for (const std::string& name : ended) EndRequest(name);
 }
 
-void ProvisioningRequests::End(const std::string& name) {
+void ProvisioningRequests::EndRequest(const std::string& name) {
   requests_.erase(name);
   writer_->Remove(keys::Rent(name));
 }
 
-std::vector<const ProvisioningRecord*> ProvisioningRequests::Unanswered()
+std::vector<const ProvisioningRecord*> ProvisioningRequests::ListUnanswered()
     const {
   std::vector<const ProvisioningRecord*> records;
   for (const auto& [name, request] : requests_)
--- a/src/core/autoscaling/provisioning_requests.h
+++ b/src/core/autoscaling/provisioning_requests.h
@@ -1,5 +1,6 @@
-// Requests to the cloud for machines, from the record that is written before
-// the call until every machine of the answer has a record of its own.
+// Requests to the cloud for machines. A request lasts from the record that is
+// written before the call until every machine in the answer has a record of its
+// own.
 #pragma once
 
 #include <cstdint>
@@ -17,13 +18,13 @@
 
 namespace sorrelwood {
 
-// The life of a provisioning request. It ends early when its record cannot be
-// stored or the cloud refuses it.
+// The state of a provisioning request. A request ends early if its record
+// cannot be stored or the cloud refuses it.
 enum class ProvisioningState {
-  kRecording,    // its record is being written; the cloud knows nothing of it
-  kDue,          // recorded: the cloud is called, again after a failure
+  kRecording,    // its record is being written; the cloud has not been called
+  kDue,          // recorded; the cloud must be called, also after a failure
   kCalling,      // the cloud has not answered yet
-  kProvisioned,  // the cloud has named the machines; they have no records yet
+  kProvisioned,  // the cloud has named the machines; not all have records yet
 };
 
 class ProvisioningRequests {
@@ -39,42 +40,45 @@
         catalog_(catalog),
         quota_(quota) {}
 
-  // Takes over the records of earlier leaders, at the start of `term`. Their
-  // machines are added to the machine table.
+  // Takes over the records of earlier leaders at the start of `term`, and adds
+  // their machines to the machine table.
   void Load(uint64_t term, const std::vector<ProvisioningRecord>& records);
-  // The lead is lost: results that are still to come are ignored.
+  // Called when leadership is lost: results of calls in flight are ignored.
   void Clear();
 
-  // Asks for `count` machines, in as many requests as their records take.
+  // Requests `count` machines, in several requests where one record could not
+  // name all of them.
   void Provision(const Offer& offer, int count);
 
-  // Calls the cloud for requests that are due, as far as the quota goes. A call
-  // that has not left by `dispatch_deadline` (steady clock, s) does not leave.
+  // Calls the cloud for due requests, as far as the quota allows. A call not
+  // sent by `dispatch_deadline` (steady clock, s) is dropped.
   void SendDue(double dispatch_deadline);
 
-  // The machine's own record is committed, or the machine is gone.
+  // Called when the machine's own record is committed, or the machine has been
+  // removed.
   void OnMachineRecorded(const std::string& machine);
 
-  // Requests whose machines the cloud has not named yet, by name.
-  std::vector<const ProvisioningRecord*> Unanswered() const;
+  // Requests whose machines the cloud has not named yet, in the order of names.
+  std::vector<const ProvisioningRecord*> ListUnanswered() const;
 
  private:
   struct Request {
     ProvisioningState state = ProvisioningState::kRecording;
     ProvisioningRecord record;
     double requested_at = 0;  // by this leader (steady clock, s)
-    double next_call_at = 0;
-    std::set<std::string> unrecorded_machines;  // of the answer
+    double next_call_at = 0;  // steady clock, s; 0: at once
+    // Machines in the answer that have no record yet.
+    std::set<std::string> unrecorded_machines;
   };
 
   int MaxMachinesPerRequest() const;
-  void Record(const Offer& offer, int count);
-  void Call(const std::string& name, Request* request,
-            double dispatch_deadline);
+  void StartRequest(const Offer& offer, int count);
+  void CallCloud(const std::string& name, Request* request,
+                 double dispatch_deadline);
   void OnResult(const std::string& name, const CloudResult& result);
   void OnProvisioned(const std::string& name, Request* request,
                      const std::vector<std::string>& machine_names);
-  void End(const std::string& name);
+  void EndRequest(const std::string& name);
 
   Context* context_;
   MachineTable* machines_;
@@ -83,8 +87,8 @@
   OfferCatalog* catalog_;
   CloudCallQuota* quota_;
   uint64_t term_ = 0;
-  uint64_t generation_ = 0;  // results of an earlier one are ignored
-  uint64_t last_number_ = 0;
+  uint64_t generation_ = 0;   // results of an earlier generation are ignored
+  uint64_t last_number_ = 0;  // of this term's requests
   std::map<std::string, Request> requests_;  // by name
 };
 
--- a/src/core/autoscaling/release_reason.h
+++ b/src/core/autoscaling/release_reason.h
@@ -6,20 +6,20 @@
 namespace sorrelwood {
 
 enum class ReleaseReason {
-  kIdle,               // no work for the operators' hold time
+  kIdle,               // idle for longer than the operators' hold time
   kFaulty,             // quarantined: tasks fail because of the machine
-  kBootTimeout,        // it never sent a heartbeat
-  kPreempted,          // spot machine under a preemption notice, and empty
+  kBootTimeout,        // it sent no heartbeat in time
+  kPreempted,          // an empty spot machine under a preemption notice
   kFailedInCloud,      // the inventory shows it as failed
   kMissingAtTakeover,  // recorded by an earlier leader, not in the inventory
   kLeftInventory,      // it was in the inventory and no longer is
-  kBlocksRecovery,     // after a failover, tasks wait for it to reconcile
+  kBlocksRecovery,     // failover recovery waits for its reconciliation
   kUnreachable,        // heartbeats arrive, responses do not
   kSilent,             // no heartbeats
-  kLongUnreachable,    // silent or unreachable past its lease
+  kLongUnreachable,    // silent or unreachable beyond its lease
 };
 
-// The text of the field `reason` in the log event "releasing machine".
+// The text of the field `reason` in the log line "releasing machine".
 std::string ReleaseReasonText(ReleaseReason reason);
 
 }  // namespace sorrelwood
--- a/src/core/autoscaling/scale_out_plan.h
+++ b/src/core/autoscaling/scale_out_plan.h
@@ -1,4 +1,4 @@
-// How many machines of each offer are to be provisioned.
+// The number of machines of each offer to provision.
 #pragma once
 
 #include <map>
@@ -7,20 +7,19 @@
 
 namespace sorrelwood {
 
-// Filled by the planners one after the other; each sees what those before it
-// have added.
+// Filled by the planners in turn; each sees what the previous ones have added.
 class ScaleOutPlan {
  public:
-  void AddMachine(const Offer& offer) { ++machines_[offer.Pool()]; }
+  void AddMachine(const Offer& offer) { ++machine_counts_[offer.Pool()]; }
 
-  // Machines of the offer that the plan has so far.
+  // Machines of the offer in the plan so far.
   int Count(const Offer& offer) const {
-    const auto it = machines_.find(offer.Pool());
-    return it == machines_.end() ? 0 : it->second;
+    const auto entry = machine_counts_.find(offer.Pool());
+    return entry == machine_counts_.end() ? 0 : entry->second;
   }
 
  private:
-  std::map<CapacityPool, int> machines_;
+  std::map<CapacityPool, int> machine_counts_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -40,7 +40,7 @@
 
 void Rebalancer::Tick(bool may_dispatch) {
   if (!spread_.moves || context_->now < next_tick_) return;
-  next_tick_ = context_->now + kRebalanceEveryS;
+  next_tick_ = context_->now + kRebalanceIntervalS;
   GiveUpLate();
   bounds_.Update(context_->now);
   const Imbalance imbalance = meter_.Measure(machines_);
@@ -139,7 +139,7 @@
   if (!loses_little) return false;
   const Job* job = jobs_->Find(key.job);
   if (!job || job->finishing || job->failing()) return false;
-  if (jobs_->Estimate(spec) - ran_s < kMoveLeastLeftS) return false;
+  if (jobs_->Estimate(spec) - ran_s < kMinRemainingRunForMoveS) return false;
   const auto moved = moved_at_.find(key);
   return moved == moved_at_.end() ||
          context_->now - moved->second >= spread_.cooldown_s;
--- a/src/core/balance/speed_tracker.h
+++ b/src/core/balance/speed_tracker.h
@@ -13,7 +13,7 @@
  public:
   // A task of the job ran to its end on the machine without interruption.
   void Learn(const std::string& job, const std::string& machine, double ran_s);
-  // Its tasks have lately taken kSlowRatio times as long as others.
+  // Its tasks have lately taken kSlowMachineRatio times as long as others.
   bool IsSlow(const std::string& machine) const;
 
   void ForgetJob(const std::string& job) { jobs_.erase(job); }
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -14,7 +14,7 @@
 // all nodes together keep to their share of the state service's requests.
 double WatchIntervalS(const ClusterSettings& settings) {
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
-  return nodes / (settings.state_requests_per_s * kWatchShare);
+  return nodes / (settings.state_requests_per_s * kWatchRequestRateShare);
 }
 
 }  // namespace
--- a/src/core/controller/failover_recovery.cc
+++ b/src/core/controller/failover_recovery.cc
@@ -59,7 +59,7 @@
     machine->lifecycle.from_earlier_term = true;
     machine->lifecycle.ever_reported = true;
     machine->lifecycle.identity_confirmed = true;
-    machine->lifecycle.rented_at = context_->now;
+    machine->lifecycle.provisioned_at = context_->now;
     machine->contact.last_contact_at = context_->now;
     machine->contact.last_heartbeat_at = context_->now;
     machine->contact.last_answered_at = context_->now;
--- a/src/core/controller/job_lifecycle.h
+++ b/src/core/controller/job_lifecycle.h
@@ -57,7 +57,7 @@
   CompletionStore* completions_;
   JobFinisher* job_finisher_;
   Rebalancer* rebalancer_;
-  PeriodicTimer rank_timer_{kRankEveryS};
+  PeriodicTimer rank_timer_{kRankingIntervalS};
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -45,7 +45,7 @@
                 &completions_, &autoscaler_, &unreconciled_, &job_lifecycle_),
       statistics_(context, settings, &jobs_, &machines_, &placement_,
                   &autoscaler_, &waiting_, &replicas_, &rebalancer_) {
-  autoscaler_.on_gone = [this](Machine* machine) {
+  autoscaler_.on_machine_gone = [this](Machine* machine) {
     attempts_.ForgetMachineContents(machine);
     rebalancer_.OnMachineGone(machine->name);
   };
--- a/src/core/controller/leader_role.h
+++ b/src/core/controller/leader_role.h
@@ -117,12 +117,12 @@
   FailoverRecovery recovery_;
   SchedulerStatisticsCollector statistics_;
 
-  PeriodicTimer health_timer_{kHealthCheckEveryS};
-  PeriodicTimer commit_timer_{kFinishBatchS};
-  PeriodicTimer policy_timer_{kPolicyEveryS};
-  PeriodicTimer preemption_timer_{kPreemptEveryS};
-  PeriodicTimer team_usage_timer_{kDebugEveryS};
-  PeriodicTimer placement_timer_{kPlaceEveryS};
+  PeriodicTimer health_timer_{kHealthCheckIntervalS};
+  PeriodicTimer commit_timer_{kCompletionBatchS};
+  PeriodicTimer policy_timer_{kPolicyIntervalS};
+  PeriodicTimer preemption_timer_{kPreemptionIntervalS};
+  PeriodicTimer team_usage_timer_{kDebugLogIntervalS};
+  PeriodicTimer placement_timer_{kPlacementIntervalS};
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/node_health.cc
+++ b/src/core/controller/node_health.cc
@@ -14,7 +14,7 @@
   // service from a fault of this node alone.
   const auto served = std::count_if(
       peer_served_at_.begin(), peer_served_at_.end(), [&](const auto& item) {
-        return item.second > unserved_since + kShutOutS;
+        return item.second > unserved_since + kCutOffThresholdS;
       });
   const size_t nodes = settings_->peers.size() + 1;
   return static_cast<size_t>(served) * 2 < nodes;
--- a/src/core/controller/peer_status_exchange.cc
+++ b/src/core/controller/peer_status_exchange.cc
@@ -33,7 +33,7 @@
 
 std::vector<JobCounts> PeerStatusExchange::CountsToSend(
     const std::vector<JobCounts>& counts) {
-  const bool send_all = sequence_ % kPeerStatusFullEvery == 0;
+  const bool send_all = sequence_ % kMessagesPerFullPeerStatus == 0;
   std::vector<JobCounts> to_send;
   std::map<std::string, JobCounts> known_to_peers;
   for (const JobCounts& job : counts) {
--- a/src/core/controller/peer_status_exchange.h
+++ b/src/core/controller/peer_status_exchange.h
@@ -50,7 +50,7 @@
   LeaderElection* election_;
   NodeHealth* node_health_;
   const uint64_t incarnation_;
-  PeriodicTimer timer_{kPeerStatusEveryS};
+  PeriodicTimer timer_{kPeerStatusIntervalS};
   uint64_t sequence_ = 0;                       // of the latest message
   std::map<std::string, JobCounts> last_sent_;  // by job
 };
--- a/src/core/controller/scheduler_statistics.cc
+++ b/src/core/controller/scheduler_statistics.cc
@@ -28,7 +28,7 @@
   std::vector<JobCounts> counts;
   for (const auto& [id, job] : jobs_->all()) {
     const size_t running = job->spec().IsService()
-                               ? machines_->RunningReplicas(*job)
+                               ? machines_->CountRunningReplicas(*job)
                                : job->progress.machine_of_task.size();
     counts.push_back(
         {id, job->progress.done.size(), static_cast<uint32_t>(running)});
--- a/src/core/coordination/completion_store.cc
+++ b/src/core/coordination/completion_store.cc
@@ -52,7 +52,7 @@
           std::strtoul(rest.c_str() + slash + 1, nullptr, 10));
       record->first_task = chunk * kTasksPerCompletionRecord;
     }
-    DecodeCompletionBits(record->bits_hex, *record->first_task, kMaxTasks,
+    DecodeCompletionBits(record->bits_hex, *record->first_task, kMaxTasksPerJob,
                          &loaded_[job]);
     stored_[job].insert(item.key);
   }
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -130,7 +130,7 @@
 void JobCache::ApplyFinalState(const std::string& id, FinalState state) {
   if (!final_.emplace(id, state).second) return;
   final_order_.push_back(id);
-  if (final_order_.size() > kFinalStateCacheSize) {
+  if (final_order_.size() > kFinalStateCacheJobs) {
     final_.erase(final_order_.front());
     final_order_.pop_front();
   }
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -18,7 +18,7 @@
       // within cancel_deadline_s of a cancellation that this leader did not
       // see.
       worker_lease_renewal_window_s_(std::max(
-          kLeaderLeaseS, cancel_deadline_s - lease_s * (1 + kClockDrift) -
+          kLeaderLeaseS, cancel_deadline_s - lease_s * (1 + kMaxClockDriftRatio) -
                              kWorkerLeaseMarginS)) {}
 
 Precondition LeaderElection::leader_precondition() const {
@@ -26,7 +26,7 @@
 }
 
 double LeaderElection::dispatch_deadline() const {
-  return confirmed_at_ + kLeaderLeaseS * (1 - kClockDrift) -
+  return confirmed_at_ + kLeaderLeaseS * (1 - kMaxClockDriftRatio) -
          kDispatchLeaseMarginS;
 }
 
@@ -51,7 +51,7 @@
 
 void LeaderElection::Resign(const std::string& why) {
   if (!leading_ || context_->now < next_resignation_) return;
-  next_resignation_ = context_->now + kResignIntervalS;
+  next_resignation_ = context_->now + kMinResignIntervalS;
   const Precondition key = leader_precondition();
   StepDown(why);
   retry_at_ = context_->now + kResignPauseS;
--- a/src/core/coordination/state_limits.cc
+++ b/src/core/coordination/state_limits.cc
@@ -22,7 +22,7 @@
 }
 
 size_t StateLimitTracker::max_preconditions() const {
-  return static_cast<size_t>(max_mutations()) * kPreconditionsPerMutation;
+  return static_cast<size_t>(max_mutations()) * kMaxPreconditionsPerMutation;
 }
 
 size_t StateLimitTracker::value_bytes() const {
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -83,7 +83,7 @@
   std::vector<Entry> batch;
   size_t bytes = 0;
   while (!(urgent_.empty() && order_.empty()) && batch.size() < most &&
-         bytes < kMaxWriteBytes) {
+         bytes < kMaxTransactionValueBytes) {
     auto& line = urgent_.empty() ? order_ : urgent_;
     const std::string key = line.front();
     auto it = waiting_.find(key);
--- a/src/core/jobs/class_profile.cc
+++ b/src/core/jobs/class_profile.cc
@@ -11,7 +11,7 @@
   profile.tasks += (job.spec.tasks - profile.tasks) * weight;
   profile.spec = job.spec;
   profile.arrivals.push_back(job.submitted_wall_s);
-  if (profile.arrivals.size() > kMaxArrivals) profile.arrivals.pop_front();
+  if (profile.arrivals.size() > kMaxArrivalsPerClass) profile.arrivals.pop_front();
 }
 
 const ClassProfile* ClassProfileTable::Find(
--- a/src/core/jobs/class_profile.h
+++ b/src/core/jobs/class_profile.h
@@ -14,7 +14,7 @@
 struct ClassProfile {
   double tasks = 0;             // of a job, smoothed
   JobSpec spec;                 // of the latest job
-  std::deque<double> arrivals;  // wall times of the latest kMaxArrivals jobs
+  std::deque<double> arrivals;  // wall times of the latest kMaxArrivalsPerClass jobs
 };
 
 class ClassProfileTable {
--- a/src/core/jobs/run_time_estimator.cc
+++ b/src/core/jobs/run_time_estimator.cc
@@ -19,8 +19,8 @@
 
 void RunTimeEstimator::Learn(const JobSpec& spec, double ran_s) {
   const double ratio =
-      std::clamp(ran_s / OwnersEstimate(spec), 1 / kMaxEstimateCorrection,
-                 kMaxEstimateCorrection);
+      std::clamp(ran_s / OwnersEstimate(spec), 1 / kMaxEstimateCorrectionRatio,
+                 kMaxEstimateCorrectionRatio);
   double& correction =
       correction_.try_emplace(spec.job_class, 1.0).first->second;
   correction += (ratio - correction) * kEstimateLearningRate;
--- a/src/core/machines/machine.cc
+++ b/src/core/machines/machine.cc
@@ -5,8 +5,9 @@
 namespace sorrelwood {
 namespace {
 
-// Sums of resources may be off by rounding: smaller differences count as none.
-constexpr double kRounding = 1e-6;
+// Differences between sums of resources (cores, devices, GB) that are not
+// larger come from rounding and count as none.
+constexpr double kSumRounding = 1e-6;
 
 }  // namespace
 
@@ -17,51 +18,53 @@
 }
 
 void Machine::AddTeamCpus(const std::string& team, double cpus) {
-  const auto it =
+  const auto entry =
       std::find_if(team_cpus.begin(), team_cpus.end(),
                    [&](const auto& item) { return item.first == team; });
-  if (it == team_cpus.end()) {
+  if (entry == team_cpus.end()) {
     team_cpus.emplace_back(team, cpus);
     return;
   }
-  it->second += cpus;
-  if (it->second <= kRounding) team_cpus.erase(it);
+  entry->second += cpus;
+  if (entry->second <= kSumRounding) team_cpus.erase(entry);
 }
 
 bool Machine::Fits(const JobSpec& spec) const {
-  return type && spec.cpus <= cpus_free() + kRounding &&
-         spec.gpus <= gpus_free() + kRounding &&
-         spec.memory_gb <= memory_free() + kRounding;
+  return type && spec.cpus <= cpus_free() + kSumRounding &&
+         spec.gpus <= gpus_free() + kSumRounding &&
+         spec.memory_gb <= memory_free() + kSumRounding;
 }
 
 void Machine::ReserveCapacity(double cpus, double gpus, double memory_gb) {
-  ++reservations;
+  ++reservation_count;
   reserved_cpus += cpus;
   reserved_gpus += gpus;
   reserved_memory += memory_gb;
 }
 
 void Machine::ReleaseCapacity(double cpus, double gpus, double memory_gb) {
-  --reservations;
+  --reservation_count;
   reserved_cpus -= cpus;
   reserved_gpus -= gpus;
   reserved_memory -= memory_gb;
-  // Rounding errors are not carried over.
-  if (reservations == 0) reserved_cpus = reserved_gpus = reserved_memory = 0;
+  // Prevents rounding errors from accumulating.
+  if (reservation_count == 0)
+    reserved_cpus = reserved_gpus = reserved_memory = 0;
 }
 
-void Machine::AddAttempt(const TaskId& key, TaskAttempt attempt) {
+void Machine::AddAttempt(const TaskId& task, TaskAttempt attempt) {
   AddTeamCpus(attempt.record->spec.team, attempt.cpus);
   cpus_used += attempt.cpus;
   gpus_used += attempt.gpus;
   memory_used += attempt.memory_gb;
   lifecycle.idle_since = 0;
-  attempts[key] = std::move(attempt);
+  attempts[task] = std::move(attempt);
 }
 
-TaskAttempt Machine::RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator it) {
-  TaskAttempt attempt = std::move(it->second);
-  attempts.erase(it);
+TaskAttempt Machine::RemoveAttempt(
+    std::map<TaskId, TaskAttempt>::iterator entry) {
+  TaskAttempt attempt = std::move(entry->second);
+  attempts.erase(entry);
   AddTeamCpus(attempt.record->spec.team, -attempt.cpus);
   const std::string& image = attempt.record->spec.image;
   const auto waits_for_image = [&image](const auto& item) {
@@ -74,7 +77,7 @@
   cpus_used -= attempt.cpus;
   gpus_used -= attempt.gpus;
   memory_used -= attempt.memory_gb;
-  // Rounding errors are not carried over.
+  // Prevents rounding errors from accumulating.
   if (attempts.empty()) cpus_used = gpus_used = memory_used = 0;
   return attempt;
 }
@@ -86,8 +89,8 @@
 
 void Machine::TouchImage(const std::string& image) {
   if (image.empty()) return;
-  auto it = std::find(images.begin(), images.end(), image);
-  if (it != images.end()) images.erase(it);
+  const auto cached = std::find(images.begin(), images.end(), image);
+  if (cached != images.end()) images.erase(cached);
   images.push_back(image);
 }
 
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -1,5 +1,5 @@
-// One machine of the fleet, in parts: communication, health, lifecycle, its
-// role in the fleet, and what it holds.
+// One machine of the fleet: communication, health, lifecycle, its role in the
+// fleet, and its tasks and resources.
 #pragma once
 
 #include <cstdint>
@@ -15,87 +15,94 @@
 
 namespace sorrelwood {
 
-// Communication with a machine: what it reported last, and what is proved to
+// Communication with a machine: its latest reports, and the proof that messages
 // have reached it. Times are of the steady clock (s).
 struct MachineContact {
-  // The latest report that was applied, whether it came as a heartbeat or as
-  // the answer to pushed commands.
-  HeartbeatId applied;
-  // The latest heartbeat that was answered with 200 in this term, and when that
-  // was: from then on the worker's lease may run.
-  HeartbeatId answered;
+  // The latest report that was applied, received as a heartbeat or as the
+  // answer to pushed commands.
+  HeartbeatId last_applied;
+  // The latest heartbeat that was answered with 200 in this term.
+  HeartbeatId last_answered;
+  // The time of that answer, which may have renewed the worker's lease.
   double last_answered_at = 0;
-  // The latest report of either kind; and the latest heartbeat, since only the
-  // responses to heartbeats carry start commands.
+  // The time of the latest report of either kind.
   double last_contact_at = 0;
+  // The time of the latest heartbeat. Only responses to heartbeats carry start
+  // commands.
   double last_heartbeat_at = 0;
-  // The latest proof that a message of this leader arrived. Heartbeats alone
-  // prove nothing: the network may drop the responses only.
+  // The time of the latest proof that a message of this leader arrived.
+  // Heartbeats alone prove nothing: the network may drop only the responses.
   double last_delivery_proof_at = 0;
   // Responses sent since then may not have arrived.
   double delivery_unproven_since = 0;
-  // Heartbeats arrive, but for longer than the worker's lease no response is
-  // proved to have arrived: heartbeats are refused until the lease has expired.
+  // Heartbeats arrive, but no response has been proved to arrive for longer
+  // than the worker's lease: heartbeats are refused until the lease has
+  // expired.
   bool unreachable = false;
-  // Commands pushed to the worker's own address.
+  // Commands are being pushed to the worker's own address.
   bool push_in_flight = false;
-  int unanswered_pushes = 0;  // since the last one that was answered
-  double next_push = 0;
+  int unanswered_pushes = 0;  // since the last answered one
+  double next_push_at = 0;    // 0: at once
 };
 
 // Whether the machine is the cause of task failures. Times are of the steady
 // clock (s).
 struct MachineHealth {
-  bool quarantined = false;  // is given no tasks, and is released
-  // Quarantined because of jobs that may be at fault themselves: it is not
-  // released before this time, so that they are tried elsewhere first. 0: the
-  // machine is known to be at fault.
+  bool quarantined = false;  // gets no tasks, and is released
+  // The jobs whose failures led to the quarantine may be at fault themselves:
+  // the machine is not released before this time, so that they are tried
+  // elsewhere first. 0: the machine is known to be at fault.
   double suspect_until = 0;
-  double refused_until = 0;  // it refused a start: no tasks until then
-  // Failed attempts by job since a task last succeeded there.
-  std::map<std::string, int> errors;
+  // The machine refused a start: it gets no tasks before this time. 0: it has
+  // refused none.
+  double refused_until = 0;
+  // Number of failed attempts by job since a task last succeeded there.
+  std::map<std::string, int> failed_attempts;
 };
 
-// From its provisioning to its termination. Times are of the steady clock (s).
+// The lifecycle of a machine, from provisioning to termination. Times are of
+// the steady clock (s).
 struct MachineLifecycle {
-  double rented_at = 0;
-  double came_up_at = 0;  // its first heartbeat; 0: none in this term
-  // Its record is in the state service (`recorded`) or being written: nothing
-  // is started there before. Guards against a later leader that does not know
-  // of a machine on which tasks run.
+  double provisioned_at = 0;
+  double first_heartbeat_at = 0;  // 0: none in this term
+  // Its record is in the state service (`recorded`), or being written
+  // (`recording`). No task is started there before it is recorded: a later
+  // leader must know every machine on which tasks run.
   bool recorded = false, recording = false;
   bool ever_reported = false;
-  // A report carried this term's fencing token: the worker rejects commands of
-  // earlier leaders, and its reports are complete.
+  // A report carried this term's fencing token: the worker now rejects commands
+  // of earlier leaders, and its reports are complete.
   bool token_acknowledged = false;
-  // An earlier leader may have started tasks on it that are unknown here.
+  // An earlier leader may have started tasks on it that this leader does not
+  // know.
   bool from_earlier_term = false;
-  // Known from a record, a provisioning request, the cloud's inventory or the
-  // fencing token. Guards against a delayed duplicate of a heartbeat that makes
-  // a machine that is gone seem to exist.
+  // The machine is known from a record, a provisioning request, the cloud's
+  // inventory or the fencing token. Guards against a delayed duplicate of a
+  // heartbeat, after which a released machine would seem to exist.
   bool identity_confirmed = false;
-  bool listed = false;        // seen in the cloud's inventory by this leader
-  double unlisted_since = 0;  // 0: it is in the inventory
+  bool listed = false;        // this leader has seen it in the inventory
+  double unlisted_since = 0;  // 0: not known to be missing in the inventory
   double idle_since = 0;      // 0: not idle
   double preemption_deadline = 0;  // the cloud reclaims it then; 0: no notice
-  bool terminating = false;
+  bool terminating = false;        // its release is in progress
   double next_terminate_at = 0;
 };
 
-// What the autoscaler keeps the machine for.
+// The autoscaler's reasons to keep or drain a machine.
 struct FleetRole {
-  bool baseline = false;    // part of the steady baseline (owned) capacity
-  bool excess = false;      // beyond the demand: to be drained
+  bool baseline = false;    // part of the baseline (owned) capacity
+  bool excess = false;      // beyond the demand: gets no further tasks
   bool was_excess = false;  // in the previous planning pass
-  // Runs replicas, or holds headroom for them: neither idle nor excess.
+  // The machine runs replicas or holds headroom for them: it is neither idle
+  // nor excess.
   bool for_services = false;
 };
 
-// One machine of the fleet, as the leader sees it. CPUs and GPUs are counted in
-// cores and devices, memory in GB.
+// One machine of the fleet as the leader sees it. CPUs are counted in cores,
+// GPUs in devices, memory in GB.
 struct Machine {
   std::string name, address;
-  const MachineType* type = nullptr;  // null until the catalogue names it
+  const MachineType* type = nullptr;  // null until a catalogue has contained it
   std::string type_name, zone;
   bool spot = false;
 
@@ -105,19 +112,20 @@
   FleetRole role;
 
   std::map<TaskId, TaskAttempt> attempts;
-  // Attempts that completed and stay on the machine until their completion is
+  // Completed attempts that are kept on the machine until their completion is
   // in the state service: attempt numbers by task.
   std::map<TaskId, uint64_t> unrecorded_completions;
   std::vector<std::string> images;    // cached, most recently used last
   std::vector<std::string> fetching;  // images being fetched
+  // Used by `attempts`.
   double cpus_used = 0, gpus_used = 0, memory_used = 0;
-  // Capacity reserved for tasks that the rebalancer is moving there.
+  // Reserved for tasks that the rebalancer is moving there.
   double reserved_cpus = 0, reserved_gpus = 0, reserved_memory = 0;
-  int reservations = 0;
-  // CPUs in use by team, without teams that use none.
+  int reservation_count = 0;
+  // CPUs in use, by team; teams that use none are omitted.
   std::vector<std::pair<std::string, double>> team_cpus;
-  // Free slots for each class with reserved capacity, as Placement last counted
-  // them.
+  // Free slots for each class with reserved capacity, as last counted by
+  // ImmediateStartReserves.
   std::vector<double> reserve_slots;
 
   double cpus() const { return type ? type->cpus : 0; }
@@ -130,30 +138,33 @@
   double memory_free() const {
     return type ? type->memory_gb - memory_used - reserved_memory : 0;
   }
-  // Whether one more task of the job has room.
+  // Whether the machine has room for one more task of the job.
   bool Fits(const JobSpec& spec) const;
-  // Whether it counts as capacity: it reports to this leader and is neither
-  // quarantined, unreachable nor about to be terminated.
+  // Whether the machine can run tasks: it has acknowledged this leader's
+  // fencing token, and is neither quarantined, unreachable, terminating nor
+  // under a preemption notice.
   bool InService() const {
     return type && lifecycle.token_acknowledged && !lifecycle.terminating &&
            !health.quarantined && !contact.unreachable &&
            lifecycle.preemption_deadline == 0;
   }
-  // CPUs that tasks of the team use.
+  // CPUs in use by tasks of the team.
   double TeamCpus(const std::string& team) const;
-  // Holds capacity for one task, and gives it back.
+  // Reserves capacity for one task.
   void ReserveCapacity(double cpus, double gpus, double memory_gb);
+  // Releases the capacity reserved for one task.
   void ReleaseCapacity(double cpus, double gpus, double memory_gb);
-  bool HasReservations() const { return reservations > 0; }
-  // Adds or removes an attempt and accounts for its resources here. The job
-  // table's accounts are the caller's affair (see AttemptTracker).
-  void AddAttempt(const TaskId& key, TaskAttempt attempt);
-  TaskAttempt RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator it);
-  // Whether the image is cached. No image is needed where the name is empty.
+  bool HasReservations() const { return reservation_count > 0; }
+  // Adds an attempt and accounts for its resources on this machine. The caller
+  // updates the job table (see AttemptTracker).
+  void AddAttempt(const TaskId& task, TaskAttempt attempt);
+  // Removes an attempt from `attempts` in the same way, and returns it.
+  TaskAttempt RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator entry);
+  // Whether the image is cached. True for an empty name: no image is needed.
   bool HasImage(const std::string& image) const;
   // Marks the image as cached and most recently used.
   void TouchImage(const std::string& image);
-  // The fetch has ended, or no attempt waits for it any more.
+  // Called when the fetch has ended or no attempt waits for it any more.
   void FinishFetch(const std::string& image);
 
  private:
--- a/src/core/machines/machine_table.cc
+++ b/src/core/machines/machine_table.cc
@@ -5,26 +5,27 @@
 namespace sorrelwood {
 
 Machine* MachineTable::Find(const std::string& name) {
-  auto it = machines_.find(name);
-  return it == machines_.end() ? nullptr : it->second.get();
+  const auto entry = machines_.find(name);
+  return entry == machines_.end() ? nullptr : entry->second.get();
 }
 
 Machine* MachineTable::Add(const std::string& name) {
-  auto& slot = machines_[name];
-  if (!slot) {
-    slot = std::make_unique<Machine>();
-    slot->name = name;
+  auto& machine = machines_[name];
+  if (!machine) {
+    machine = std::make_unique<Machine>();
+    machine->name = name;
   }
-  return slot.get();
+  return machine.get();
 }
 
-size_t MachineTable::RunningReplicas(const Job& job) const {
+size_t MachineTable::CountRunningReplicas(const Job& job) const {
   size_t running = 0;
   for (const auto& [task, name] : job.progress.machine_of_task) {
     const auto machine = machines_.find(name);
     if (machine == machines_.end()) continue;
-    const auto it = machine->second->attempts.find({job.id(), task});
-    if (it != machine->second->attempts.end() && it->second.running_since > 0)
+    const auto attempt = machine->second->attempts.find({job.id(), task});
+    if (attempt != machine->second->attempts.end() &&
+        attempt->second.running_since > 0)
       ++running;
   }
   return running;
@@ -32,12 +33,12 @@
 
 void MachineTable::Remove(const std::string& name) {
   machines_.erase(name);
-  gone_.insert(name);
+  removed_.insert(name);
 }
 
 void MachineTable::Clear() {
   machines_.clear();
-  gone_.clear();
+  removed_.clear();
 }
 
 }  // namespace sorrelwood
--- a/src/core/machines/machine_table.h
+++ b/src/core/machines/machine_table.h
@@ -1,4 +1,4 @@
-// The machines of the fleet by name, and the names of those that are gone.
+// The machines of the fleet by name, and the names of removed machines.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +13,32 @@
 
 struct Job;
 
-// Pointers to machines stay valid until the machine is removed.
+// A pointer to a machine stays valid until the machine is removed.
 class MachineTable {
  public:
-  // Null where there is no machine of that name.
+  // Null if there is no machine of this name.
   Machine* Find(const std::string& name);
-  // The machine of that name; a new one where there is none.
+  // Returns the machine of this name, and adds it if it does not exist.
   Machine* Add(const std::string& name);
-  // Removes the machine and remembers its name: see IsGone.
+  // Removes the machine and remembers its name: see WasRemoved.
   void Remove(const std::string& name);
-  // Forgets all machines, also those that are gone.
+  // Removes all machines, and forgets the names of removed ones.
   void Clear();
   // In the order of names.
   std::map<std::string, std::unique_ptr<Machine>>& all() { return machines_; }
 
-  // How many replicas of the service are reported to be running.
-  size_t RunningReplicas(const Job& job) const;
+  // The number of the service's replicas that are reported to be running.
+  size_t CountRunningReplicas(const Job& job) const;
 
   // Whether the machine was removed in this term. Guards against delayed
-  // heartbeats and outdated inventory entries that would bring it back.
-  bool IsGone(const std::string& name) const { return gone_.count(name) > 0; }
+  // heartbeats and outdated inventories, which would add it again.
+  bool WasRemoved(const std::string& name) const {
+    return removed_.count(name) > 0;
+  }
 
  private:
   std::map<std::string, std::unique_ptr<Machine>> machines_;
-  std::set<std::string> gone_;
+  std::set<std::string> removed_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/eligibility.cc
+++ b/src/core/scheduling/eligibility.cc
@@ -30,7 +30,7 @@
 }
 
 bool Eligibility::IsReachable(const Machine& machine) const {
-  const double silence = kSilentHeartbeats * settings_->heartbeat_interval_s;
+  const double silence = kSilentHeartbeatIntervals * settings_->heartbeat_interval_s;
   return !machine.contact.unreachable &&
          context_->now - machine.contact.last_heartbeat_at < silence &&
          context_->now - machine.contact.last_delivery_proof_at < silence;
--- a/src/core/scheduling/headroom.cc
+++ b/src/core/scheduling/headroom.cc
@@ -28,7 +28,7 @@
   if (arrivals.empty()) return 0;
   const auto [first, last] =
       std::minmax_element(arrivals.begin(), arrivals.end());
-  if (context_->wall - *last > kHeadroomMemoryS) return 0;
+  if (context_->wall - *last > kHeadroomRetentionS) return 0;
   const auto recent = std::count_if(
       arrivals.begin(), arrivals.end(),
       [&](double at) { return context_->wall - at < kArrivalWindowS; });
@@ -38,7 +38,7 @@
   const double jobs_per_boot =
       static_cast<double>(recent) * ShortestBootS() / span_s;
   const double slots =
-      std::ceil(profile.tasks * (kHeadroomJobs + jobs_per_boot));
+      std::ceil(profile.tasks * (kHeadroomExtraJobs + jobs_per_boot));
   return std::min(slots, admission_->SlotsUnderQuota(profile.spec));
 }
 
--- a/src/core/scheduling/headroom.h
+++ b/src/core/scheduling/headroom.h
@@ -40,8 +40,8 @@
   std::vector<Headroom> Needs() const;
 
  private:
-  // What arrives while a machine boots, and kHeadroomJobs jobs more. None for a
-  // class of which nothing has come for kHeadroomMemoryS, or that its team's
+  // What arrives while a machine boots, and kHeadroomExtraJobs jobs more. None for a
+  // class of which nothing has come for kHeadroomRetentionS, or that its team's
   // quota does not allow: prevents paying without end for room that nobody
   // uses.
   double SlotsFor(const ClassProfile& profile) const;
--- a/src/core/scheduling/pass_selection.cc
+++ b/src/core/scheduling/pass_selection.cc
@@ -22,12 +22,12 @@
   for (Job* job : jobs->queue()) {
     ++context->work;
     size_t& of_team = selected_of_team[job->spec().team];
-    if (selected.size() >= kPassJobs && of_team >= kPassJobsPerTeam) continue;
+    if (selected.size() >= kJobsPerPass && of_team >= kMinJobsPerTeamPerPass) continue;
     if (!admission->MayStartTask(*job) || !admission->WithinQuota(*job))
       continue;
     selected.push_back(job);
-    if (++of_team == kPassJobsPerTeam) ++complete_teams;
-    if (selected.size() >= kPassJobs && complete_teams >= settings.teams.size())
+    if (++of_team == kMinJobsPerTeamPerPass) ++complete_teams;
+    if (selected.size() >= kJobsPerPass && complete_teams >= settings.teams.size())
       break;
   }
   return selected;
--- a/src/core/scheduling/pass_selection.h
+++ b/src/core/scheduling/pass_selection.h
@@ -11,8 +11,8 @@
 
 namespace sorrelwood {
 
-// The first jobs of the queue that may have a task started: kPassJobs of them,
-// and beyond those kPassJobsPerTeam of each team. Sets quota aside for services
+// The first jobs of the queue that may have a task started: kJobsPerPass of them,
+// and beyond those kMinJobsPerTeamPerPass of each team. Sets quota aside for services
 // first.
 std::vector<Job*> SelectJobs(Context* context, JobTable* jobs,
                              const ClusterSettings& settings,
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -57,7 +57,7 @@
         continue;
       const Job* job = jobs_->Find(key.job);
       if (!job) continue;
-      if (left > kReplicaLastMoveS && !HasPlaceElsewhere(*job, *machine))
+      if (left > kReplicaForcedStopS && !HasPlaceElsewhere(*job, *machine))
         continue;
       attempt.stop = true;
       attempt.stop_grace_s = std::min(job->spec().save_s, std::max(0.0, left));
@@ -79,7 +79,7 @@
   Statistics statistics;
   for (const Job* job : jobs_->services()) {
     statistics.wanted += job->spec().tasks;
-    statistics.running += machines_->RunningReplicas(*job);
+    statistics.running += machines_->CountRunningReplicas(*job);
   }
   statistics.restarted = restarted_;
   statistics.without_s = without_s_;
--- a/src/core/workers/failure_tracker.cc
+++ b/src/core/workers/failure_tracker.cc
@@ -25,11 +25,11 @@
     ReassessMachines(job->failures.machines);
   }
   // The task itself is at fault when it keeps failing while others succeed.
-  if (job_succeeds && ++job->failures.task_errors[task] >= kBrokenTaskErrors)
+  if (job_succeeds && ++job->failures.task_errors[task] >= kBrokenTaskFailures)
     return;
   // Such a service ends its own replicas, which tells nothing of machines.
   if (job->replicas.ends_by_itself) return;
-  ++machine->health.errors[job->id()];
+  ++machine->health.failed_attempts[job->id()];
   quarantine_->Reassess(machine);
 }
 
@@ -42,7 +42,7 @@
 }
 
 void FailureTracker::OnTaskSucceeded(Machine* machine) {
-  machine->health.errors.clear();
+  machine->health.failed_attempts.clear();
   if (machine->health.quarantined) quarantine_->Reassess(machine);
 }
 
--- a/src/core/workers/health_monitor.cc
+++ b/src/core/workers/health_monitor.cc
@@ -51,7 +51,7 @@
 
 HealthMonitor::Census HealthMonitor::TakeCensus() {
   const double recently_s =
-      kFastResignHeartbeats * settings_->heartbeat_interval_s;
+      kFastResignHeartbeatIntervals * settings_->heartbeat_interval_s;
   Census census;
   for (const auto& [name, machine] : machines_->all()) {
     if (BlocksRecovery(*machine)) ++census.blocking_recovery;
@@ -111,7 +111,7 @@
       census.silent <= std::max(1.0, census.expected * kEarlyReleaseMaxShare);
   allowed.blocking_recovery =
       census.blocking_recovery <=
-      std::max(1.0, census.expected * kBlockingMachineShare);
+      std::max(1.0, census.expected * kBlockingMachineMaxShare);
   return allowed;
 }
 
@@ -145,11 +145,11 @@
   const bool acknowledgement_overdue =
       machine.lifecycle.from_earlier_term &&
       context_->now - term_started_at_ >
-          kFailoverHeartbeats * settings_->heartbeat_interval_s;
+          kTokenAckHeartbeatIntervals * settings_->heartbeat_interval_s;
   return (acknowledgement_overdue || IsSilent(machine)) &&
          !machine.address.empty() && !machine.contact.push_in_flight &&
          !machine.lifecycle.terminating &&
-         context_->now >= machine.contact.next_push;
+         context_->now >= machine.contact.next_push_at;
 }
 
 // No earlier leader can have kept its tasks alive for so long, whether or not
@@ -164,12 +164,12 @@
 bool HealthMonitor::BlocksRecovery(const Machine& machine) const {
   // Enough for the first pushes to have timed out.
   const double patience_s =
-      kFailoverHeartbeats * settings_->heartbeat_interval_s + kPushTimeoutS +
+      kTokenAckHeartbeatIntervals * settings_->heartbeat_interval_s + kPushTimeoutS +
       kPushIntervalS / 2;
   return machine.lifecycle.from_earlier_term &&
          machine.lifecycle.ever_reported && !machine.lifecycle.terminating &&
          machine.contact.unanswered_pushes > 0 &&
-         machine.contact.applied.sequence == 0 &&
+         machine.contact.last_applied.sequence == 0 &&
          context_->now - term_started_at_ > patience_s;
 }
 
@@ -207,12 +207,12 @@
 
 void HealthMonitor::PushToken(Machine* machine) {
   machine->contact.push_in_flight = true;
-  machine->contact.next_push = context_->now + kPushIntervalS;
+  machine->contact.next_push_at = context_->now + kPushIntervalS;
   PushedCommands push;
   push.machine = machine->name;
   push.address = machine->address;
   push.fencing_token = election_->term();
-  push.incarnation = machine->contact.applied.incarnation;
+  push.incarnation = machine->contact.last_applied.incarnation;
   const auto on_result = [this, name = machine->name,
                           generation = generation_](const PushResult& result) {
     if (generation == generation_) OnPushResult(name, result);
@@ -232,7 +232,7 @@
   }
   machine->contact.unanswered_pushes = 0;
   machine->contact.last_delivery_proof_at = context_->now;
-  if (result.heartbeat.id() > machine->contact.applied)
+  if (result.heartbeat.id() > machine->contact.last_applied)
     reconciler_->Apply(machine, result.heartbeat,
                        HeartbeatChannel::kPushResponse);
 }
--- a/src/core/workers/health_monitor.h
+++ b/src/core/workers/health_monitor.h
@@ -46,7 +46,7 @@
   struct Census {
     int expected = 0;           // should send heartbeats
     int silent = 0;             // of them: no contact for SilenceThresholdS
-    int recently_quiet = 0;     // of them: none for kFastResignHeartbeats
+    int recently_quiet = 0;     // of them: none for kFastResignHeartbeatIntervals
     int blocking_recovery = 0;  // see BlocksRecovery
   };
   // Which machines may be returned before their worker lease has expired.
@@ -60,11 +60,11 @@
 
   // Without contact for longer (s) a machine is silent.
   double SilenceThresholdS() const {
-    return kSilentHeartbeats * settings_->heartbeat_interval_s;
+    return kSilentHeartbeatIntervals * settings_->heartbeat_interval_s;
   }
   // After the latest response a worker keeps its tasks no longer than this (s).
   double WorkerLeaseS() const {
-    return settings_->worker_lease_s * (1 + kClockDrift) + kWorkerStopS;
+    return settings_->worker_lease_s * (1 + kMaxClockDriftRatio) + kMaxWorkerStopS;
   }
   // Until then (steady clock, s) responses of an earlier leader may have kept a
   // worker's tasks alive.
--- a/src/core/workers/heartbeat_handler.cc
+++ b/src/core/workers/heartbeat_handler.cc
@@ -11,12 +11,12 @@
 // No newer than a heartbeat that was answered. Guards against a delayed
 // duplicate that makes a worker's lease seem to be renewed.
 bool IsDuplicate(const Machine& machine, const Heartbeat& heartbeat) {
-  return heartbeat.id() <= machine.contact.answered;
+  return heartbeat.id() <= machine.contact.last_answered;
 }
 
 // Nothing has been answered in this term.
 bool IsFirstOfTerm(const Machine& machine) {
-  return machine.contact.answered.sequence == 0;
+  return machine.contact.last_answered.sequence == 0;
 }
 
 bool DirectlyFollows(const HeartbeatId& later, const HeartbeatId& earlier) {
@@ -54,7 +54,7 @@
   }
   RecordDeliveryProof(machine, heartbeat);
   // The answer to a push may have overtaken this heartbeat.
-  const bool is_latest = heartbeat.id() > machine->contact.applied;
+  const bool is_latest = heartbeat.id() > machine->contact.last_applied;
   if (is_latest)
     reconciler_->Apply(machine, heartbeat, HeartbeatChannel::kHeartbeat);
   if (machine->contact.unreachable) {
@@ -62,7 +62,7 @@
     Refuse(std::move(response));
     return;
   }
-  machine->contact.answered = heartbeat.id();
+  machine->contact.last_answered = heartbeat.id();
   machine->contact.last_answered_at = context_->now;
   response.commands = is_latest && IsFromThisTerm(heartbeat)
                           ? PlaceAndSelectCommands(machine, heartbeat)
@@ -72,7 +72,7 @@
 
 Machine* HeartbeatHandler::FindOrAdd(const Heartbeat& heartbeat) {
   Machine* machine = machines_->Find(heartbeat.machine);
-  if (machine || machines_->IsGone(heartbeat.machine)) return machine;
+  if (machine || machines_->WasRemoved(heartbeat.machine)) return machine;
   // Either the cloud's inventory does not list it yet, or this is a delayed
   // duplicate of a heartbeat of a machine that is gone. It is given nothing
   // before it acknowledges the token, and HealthMonitor returns it if it does
@@ -96,7 +96,7 @@
 bool HeartbeatHandler::ProvesDelivery(const Machine& machine,
                                       const Heartbeat& heartbeat) const {
   return IsFromThisTerm(heartbeat) &&
-         DirectlyFollows(heartbeat.id(), machine.contact.answered);
+         DirectlyFollows(heartbeat.id(), machine.contact.last_answered);
 }
 
 void HeartbeatHandler::RecordDeliveryProof(Machine* machine,
--- a/src/core/workers/quarantine.cc
+++ b/src/core/workers/quarantine.cc
@@ -5,7 +5,7 @@
 namespace sorrelwood {
 
 bool Quarantine::Evidence::MachineAtFault() const {
-  return errors_of_succeeding_jobs >= kQuarantineErrors;
+  return errors_of_succeeding_jobs >= kQuarantineFailedAttempts;
 }
 
 bool Quarantine::Evidence::Suffices() const {
@@ -14,7 +14,7 @@
 
 Quarantine::Evidence Quarantine::CollectEvidence(const Machine& machine) const {
   Evidence evidence;
-  for (const auto& [id, errors] : machine.health.errors) {
+  for (const auto& [id, errors] : machine.health.failed_attempts) {
     const Job* job = jobs_->Find(id);
     // The job has ended, so who was at fault is unknown, or it was the job.
     if (!job || job->broken()) continue;
--- a/src/core/workers/reconciler.cc
+++ b/src/core/workers/reconciler.cc
@@ -56,24 +56,24 @@
                                HeartbeatChannel channel) {
   if (!machine->lifecycle.ever_reported) {
     machine->lifecycle.ever_reported = true;
-    machine->lifecycle.came_up_at = context_->now;
-    machine->lifecycle.rented_at =
-        std::min(machine->lifecycle.rented_at, context_->now);
+    machine->lifecycle.first_heartbeat_at = context_->now;
+    machine->lifecycle.provisioned_at =
+        std::min(machine->lifecycle.provisioned_at, context_->now);
   }
   machine->contact.last_contact_at = context_->now;
   if (channel == HeartbeatChannel::kHeartbeat)
     machine->contact.last_heartbeat_at = context_->now;
   if (!heartbeat.address.empty()) machine->address = heartbeat.address;
-  if (heartbeat.incarnation != machine->contact.applied.incarnation)
+  if (heartbeat.incarnation != machine->contact.last_applied.incarnation)
     OnNewIncarnation(machine, heartbeat.incarnation);
-  machine->contact.applied.sequence = heartbeat.sequence;
+  machine->contact.last_applied.sequence = heartbeat.sequence;
 }
 
 void Reconciler::OnNewIncarnation(Machine* machine, uint64_t incarnation) {
   attempts_->RemoveAll(machine);
   machine->unrecorded_completions.clear();
   machine->images.clear();
-  machine->contact.applied = {incarnation, 0};
+  machine->contact.last_applied = {incarnation, 0};
 }
 
 // Guards against a delayed duplicate of a report to an earlier leader: only one
--- a/src/core/workers/unreconciled_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -24,8 +24,8 @@
     return;
   Share share;
   share.from_earlier_term = machine.lifecycle.from_earlier_term;
-  share.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
-  share.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
+  share.cpus = machine.type ? machine.type->cpus : kUnknownTypeCapacity;
+  share.gpus = machine.type ? machine.type->gpus : kUnknownTypeCapacity;
   from_earlier_term_ += share.from_earlier_term ? 1 : 0;
   cpus_ += share.cpus;
   gpus_ += share.gpus;
--- a/src/http/buffered_stream.cc
+++ b/src/http/buffered_stream.cc
@@ -31,7 +31,7 @@
 }  // namespace
 
 void BufferedStream::RestartDeadline() {
-  deadline_ = SteadyNow() + kRequestReadTimeoutS;
+  deadline_ = SteadyNow() + kRequestTransferTimeoutS;
 }
 
 bool BufferedStream::Begin() {
--- a/src/http/connection_table.cc
+++ b/src/http/connection_table.cc
@@ -77,7 +77,7 @@
 }
 
 double ConnectionTable::MaxIdleS(const Connection& connection) const {
-  if (!connection.classified) return kRequestReadTimeoutS;
+  if (!connection.classified) return kRequestTransferTimeoutS;
   return connection.kind == ClientKind::kWorker ? limits_.worker_idle_s
                                                 : kIdleConnectionTimeoutS;
 }
--- a/src/http/poller.cc
+++ b/src/http/poller.cc
@@ -21,9 +21,9 @@
 
 std::vector<int> Poller::Wait(double timeout_s) {
   constexpr double kMillisecondsPerSecond = 1000;
-  std::array<epoll_event, kMaxPollEvents> events;
+  std::array<epoll_event, kMaxEpollEvents> events;
   const int count =
-      epoll_wait(epoll_.get(), events.data(), kMaxPollEvents,
+      epoll_wait(epoll_.get(), events.data(), kMaxEpollEvents,
                  static_cast<int>(timeout_s * kMillisecondsPerSecond));
   std::vector<int> sockets;
   sockets.reserve(static_cast<size_t>(std::max(0, count)));
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -134,7 +134,7 @@
  private:
   void ConfigureLibrary() {
     new_task_queue = [] { return new AcceptingThread; };
-    set_payload_max_length(kMaxBodyBytes);
+    set_payload_max_length(kMaxRequestBodyBytes);
     set_socket_options([](socket_t socket) {
       const int on = 1;
       setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
@@ -199,9 +199,9 @@
   // One thread waits for the next requests of all connections, and hands those
   // that have one to the threads that read and answer.
   void PollConnections() {
-    double next_idle_check = SteadyNow() + kRequestReadTimeoutS;
+    double next_idle_check = SteadyNow() + kRequestTransferTimeoutS;
     for (;;) {
-      const std::vector<int> readable = poller_.Wait(kRequestReadTimeoutS);
+      const std::vector<int> readable = poller_.Wait(kRequestTransferTimeoutS);
       std::lock_guard lock(mutex_);
       if (stopping_) break;
       for (const int socket : readable) QueueRequest(socket);
--- a/src/protocol/identifiers.cc
+++ b/src/protocol/identifiers.cc
@@ -14,7 +14,7 @@
 }  // namespace
 
 bool IsValidJobId(const std::string& id) {
-  if (id.size() <= kJobIdPrefix.size() || id.size() > kMaxIdLength ||
+  if (id.size() <= kJobIdPrefix.size() || id.size() > kMaxIdBytes ||
       id.compare(0, kJobIdPrefix.size(), kJobIdPrefix) != 0)
     return false;
   for (size_t i = kJobIdPrefix.size(); i < id.size(); ++i)
--- a/src/protocol/identifiers.h
+++ b/src/protocol/identifiers.h
@@ -9,7 +9,7 @@
 namespace sorrelwood::protocol {
 
 // True for "job-" followed by letters, digits and dashes, of at most
-// kMaxIdLength bytes in all.
+// kMaxIdBytes bytes in all.
 bool IsValidJobId(const std::string& id);
 
 // Returns the name of a task, such as "job-000412/3".
--- a/src/protocol/job_spec_codec.cc
+++ b/src/protocol/job_spec_codec.cc
@@ -73,9 +73,9 @@
 // Number of tasks, and what each takes of its machine.
 void ReadResources(JsonReader* reader, Presence newer_fields, JobSpec* spec) {
   const uint64_t tasks = reader->Count(field::kTasks);
-  if (tasks < 1 || tasks > kMaxTasks)
+  if (tasks < 1 || tasks > kMaxTasksPerJob)
     reader->Fail(field::kTasks,
-                 "must be from 1 to " + std::to_string(kMaxTasks));
+                 "must be from 1 to " + std::to_string(kMaxTasksPerJob));
   spec->tasks = static_cast<uint32_t>(tasks);
   spec->cpus = reader->Number(field::kCpus, 0);
   spec->gpus = reader->Number(field::kGpus, 0, newer_fields);
--- a/src/protocol/json_reader.cc
+++ b/src/protocol/json_reader.cc
@@ -50,7 +50,7 @@
   auto text = value->get<std::string>();
   if (text.empty() && empty == EmptyString::kRefused)
     Fail(field, "must not be empty");
-  if (text.size() > kMaxIdLength) Fail(field, "is too long");
+  if (text.size() > kMaxIdBytes) Fail(field, "is too long");
   return text;
 }
 
--- a/src/protocol/json_reader.h
+++ b/src/protocol/json_reader.h
@@ -55,7 +55,7 @@
   // Returns the field's value; null if the field is absent or null.
   const Json* Find(const char* field) const;
 
-  // A string of at most kMaxIdLength bytes.
+  // A string of at most kMaxIdBytes bytes.
   std::string String(const char* field, Presence presence = Presence::kRequired,
                      EmptyString empty = EmptyString::kRefused);
   // A finite number from `minimum` to 1e12.
--- a/src/protocol/stored_records_codec.cc
+++ b/src/protocol/stored_records_codec.cc
@@ -45,7 +45,7 @@
   JsonReader reader(object);
   const uint64_t first_task = reader.Count(kFirstTask);
   if (!reader.ok()) return tl::unexpected(reader.error());
-  if (first_task >= kMaxTasks)
+  if (first_task >= kMaxTasksPerJob)
     return MakeParseError(kFirstTask, "is out of range");
   const Json* bits = reader.Find(kBits);
   if (!bits || !bits->is_string())
--- a/src/server/controller_server.cc
+++ b/src/server/controller_server.cc
@@ -37,7 +37,7 @@
   limits.users = static_cast<size_t>(static_cast<double>(limits.total) *
                                      kUserConnectionShare);
   limits.worker_idle_s = settings.worker_lease_s;
-  limits.worker_stale_s = kSilentHeartbeats * settings.heartbeat_interval_s;
+  limits.worker_stale_s = kSilentHeartbeatIntervals * settings.heartbeat_interval_s;
   limits.threads = MaxRequestThreads(settings);
   return limits;
 }
--- a/src/server/http_routes.cc
+++ b/src/server/http_routes.cc
@@ -112,7 +112,7 @@
   // Guards against polls, which can be repeated, delaying submissions and
   // cancellations.
   if (inputs_->IsOverloaded())
-    return Error(429, "too many requests are waiting", kOverloadRetryAfterS);
+    return Error(429, "too many requests are waiting", kInputQueueFullRetryAfterS);
   return Call(InputPriority::kUser, [&](uint64_t id) -> Input {
     return [id, job](Controller& controller, Controller::Time time) {
       return controller.Poll(time, id, job);
@@ -133,7 +133,7 @@
   const uint64_t request = responses_->Open();
   inputs_->Push(make_input(request), priority);
   auto response = responses_->Wait(request, kCoreAnswerTimeoutS);
-  if (!response) return Error(503, "the controller is busy", kBusyRetryAfterS);
+  if (!response) return Error(503, "the controller is busy", kCoreLateRetryAfterS);
   return {response->status, std::move(response->body), "application/json",
           response->retry_after_s};
 }
--- a/src/server/state_request_workers.cc
+++ b/src/server/state_request_workers.cc
@@ -36,13 +36,13 @@
 }  // namespace
 
 void StateRequestWorkers::Start() {
-  StartThreads("renewal", 1, kRenewTimeoutS, &lease_renewals_);
-  StartThreads("watch", 1, kWatchS + kWatchSlackS, &watches_);
-  StartThreads("list", 1, kStateTimeoutS, &lists_);
-  StartThreads("writes", kLeaderStateThreads, kStateTimeoutS,
+  StartThreads("renewal", 1, kLeaseRenewalTimeoutS, &lease_renewals_);
+  StartThreads("watch", 1, kWatchDurationS + kWatchTimeoutMarginS, &watches_);
+  StartThreads("list", 1, kStateRequestTimeoutS, &lists_);
+  StartThreads("writes", kLeaderStateThreads, kStateRequestTimeoutS,
                &leader_requests_);
-  StartThreads("users", kUserStateThreads, kStateTimeoutS, &user_requests_);
-  StartThreads("polls", kPollStateThreads, kStateTimeoutS, &polls_);
+  StartThreads("users", kUserStateThreads, kStateRequestTimeoutS, &user_requests_);
+  StartThreads("polls", kPollStateThreads, kStateRequestTimeoutS, &polls_);
 }
 
 void StateRequestWorkers::Send(StateRequest request) {
--- a/src/state/state_client.cc
+++ b/src/state/state_client.cc
@@ -89,7 +89,7 @@
   uint64_t first_revision = 0;
   for (bool has_more = true; has_more;) {
     const HttpAnswer answer =
-        http_.Get(protocol::ItemPageTarget(list.prefix, after, kListPage));
+        http_.Get(protocol::ItemPageTarget(list.prefix, after, kListPageItems));
     result.outcome = OutcomeOfAnswer(answer);
     if (result.outcome != Outcome::kOk) return result;
     auto page = protocol::ParseItemPage(answer.body);
@@ -114,7 +114,7 @@
   StateResult result;
   result.id = watch.id;
   const HttpAnswer answer =
-      http_.Get(protocol::WatchTarget(watch.prefix, watch.after, kWatchS));
+      http_.Get(protocol::WatchTarget(watch.prefix, watch.after, kWatchDurationS));
   if (answer.status == status::kGone) {
     result.outcome = Outcome::kOk;
     result.too_old = true;
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -28,7 +28,7 @@
   // Reads all keys with a prefix, page by page. The result's revision is the
   // first page's: a watch from there misses no change.
   StateResult List(const StateList& list);
-  // Waits up to kWatchS seconds for changes of keys with a prefix. `too_old` in
+  // Waits up to kWatchDurationS seconds for changes of keys with a prefix. `too_old` in
   // the result tells that the service no longer has all of them.
   StateResult Watch(const StateWatch& watch);
   // Creates a lease.
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -411,7 +411,7 @@
   EXPECT_GT(starts, 3000);
   // The queue, not the fleet: with a class that starts at once, the room kept
   // for it was counted over all machines at each report.
-  EXPECT_LE(most_for_a_report, 202 + kPassJobs);
+  EXPECT_LE(most_for_a_report, 202 + kJobsPerPass);
   // A pass: the front, the reserves, and a search for each machine it fills.
   leader.ForgetWork();
   leader.Run(2);
@@ -626,7 +626,7 @@
   leader.AddMachineRecord("n-1");
   leader.Run(3);
   for (int i = 0; i < 3; ++i) machine.Beat(&leader);
-  for (size_t i = 0; i < 2 * kPassJobs; ++i)
+  for (size_t i = 0; i < 2 * kJobsPerPass; ++i)
     leader.AddJob("job-" + std::to_string(100000 + i), 5, 17);
   leader.AddJob("job-200000", 1, 1, "", "class", "other");
   leader.Run(1.5);
--- a/tests/server_test.cc
+++ b/tests/server_test.cc
@@ -147,7 +147,7 @@
   table.Classify(worker, ClientKind::kWorker);
   table.StartWaiting(silent, 0);
   table.StartWaiting(worker, 0);
-  table.CloseExpired(kRequestReadTimeoutS + 1);
+  table.CloseExpired(kRequestTransferTimeoutS + 1);
   EXPECT_FALSE(table.FindWaiting(silent_socket));
   EXPECT_TRUE(table.FindWaiting(worker_socket));
   table.CloseExpired(11);
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -163,7 +163,7 @@
 
 // An array as large as any, its progress written before and after the fall.
 TEST_P(ProgressLimits, NothingWrittenIsLostWhenValuesShrink) {
-  constexpr uint32_t kTasks = kMaxTasks;
+  constexpr uint32_t kTasks = kMaxTasksPerJob;
   const size_t small = GetParam();
   LimitedStore store(FallingLimits(static_cast<double>(small) / 1024, 5));
   JobTable jobs;
