--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -119,7 +119,7 @@
 // Fewest tasks of a part of a completion record.
 inline constexpr uint32_t kMinTasksPerCompletionPart = 64;
 
-// Upper bound of the size of such a part without its bits.
+// Upper bound of the size of a part of a completion record without its bits.
 inline constexpr size_t kCompletionPartOverheadBytes = 64;
 
 inline constexpr uint32_t kTasksPerHexDigit = 4;
@@ -131,7 +131,8 @@
 // of its machines.
 inline constexpr size_t kProvisioningRecordOverheadBytes = 320;
 
-// Upper bound of the size of one machine name in that record.
+// Upper bound of the size of one machine name in a provisioning request's
+// record.
 inline constexpr size_t kMachineNameMaxBytes = 24;
 
 // Items requested in one listing: the service's maximum, since a takeover reads
@@ -190,8 +191,8 @@
 // a burst of heartbeats, less than a second's work on the smallest machine.
 inline constexpr size_t kMinInputQueueLimit = 150;
 
-// The limit is one input for this number of workers that may be connected,
-// where that is more: a larger fleet sends larger bursts.
+// The limit of queued inputs is one for this number of workers that may be
+// connected, where that is more: a larger fleet sends larger bursts.
 inline constexpr size_t kWorkersPerQueuedInput = 8;
 
 // Final job states kept in memory; older ones are read again on request.
@@ -251,8 +252,8 @@
 // attempts failed of jobs that succeed elsewhere.
 inline constexpr int kQuarantineFailedAttempts = 2;
 
-// It is also quarantined when attempts failed of this many jobs that have not
-// succeeded anywhere yet.
+// A machine is also quarantined when, since a task last succeeded there,
+// attempts failed of this many jobs that have not succeeded anywhere yet.
 inline constexpr size_t kQuarantineFailingJobs = 3;
 
 // A job that has succeeded nowhere and failed on this many machines is tried
@@ -271,10 +272,11 @@
 // failure.
 inline constexpr double kJobRetryPauseS = 2.0;
 
-// The longest pause of that backoff.
+// The longest pause of a job's backoff.
 inline constexpr double kJobRetryPauseMaxS = 60.0;
 
-// Doublings computed for that backoff; as many exceed the longest pause.
+// Most doublings of the pause that are computed; as many exceed
+// kJobRetryPauseMaxS.
 inline constexpr int kJobRetryPauseMaxDoublings = 10;
 
 // How long a job avoids a machine that it failed on.
@@ -343,7 +345,7 @@
 // corrected.
 inline constexpr double kMaxEstimateCorrectionRatio = 3.0;
 
-// Weight of one more completed task in that correction.
+// Weight of one more completed task in the correction of a class.
 inline constexpr double kEstimateLearningRate = 0.02;
 
 // Estimate for a service, which runs until it is cancelled: longer than any
@@ -553,11 +555,12 @@
 // A booting machine does not count as capacity after this many boot times.
 inline constexpr double kNoCreditBootTimes = 3.0;
 
-// A boot may time out after this many boot times, see kBootTimeoutPeers.
+// A boot may time out after this many boot times (see kBootTimeoutPeers).
 inline constexpr double kBootTimeoutBootTimes = 1.8;
 
-// It does so when this many machines of the type that were provisioned no
-// earlier are up: a new machine would be up sooner.
+// A boot times out after kBootTimeoutBootTimes when this many machines of the
+// type that were provisioned no earlier are up: a new machine would be up
+// sooner.
 inline constexpr size_t kBootTimeoutPeers = 3;
 
 // A boot times out in any case after this many boot times.
@@ -583,18 +586,24 @@
 // Arenas of malloc: each further one costs memory that a small machine lacks.
 inline constexpr int kMallocArenas = 2;
 
-// Threads with a connection of their own that send the leader's requests to the
-// state service. With several of them one slow answer does not delay the next
-// request of its class; the same holds for the three constants below.
+// Threads, each with a connection of its own, that send the leader's requests
+// to the state service. Enough that one slow answer does not delay the next
+// request.
 inline constexpr int kLeaderStateThreads = 3;
 
-// Threads that send submissions and cancellations to the state service.
+// Threads that send submissions and cancellations to the state service, each
+// with a connection of its own. Enough that one slow answer does not delay the
+// next request.
 inline constexpr int kUserStateThreads = 3;
 
-// Threads that send quorum reads for polls to the state service.
+// Threads that send quorum reads for polls to the state service, each with a
+// connection of its own. Enough that one slow answer does not delay the next
+// request.
 inline constexpr int kPollStateThreads = 2;
 
-// Threads that send provisioning and release calls to the cloud.
+// Threads that send provisioning and release calls to the cloud, each with a
+// connection of its own. Enough that one slow answer does not delay the next
+// call.
 inline constexpr int kCloudChangeThreads = 3;
 
 // Workers that may be connected for each thread that pushes commands. A zone
@@ -650,11 +659,11 @@
 // may have.
 inline constexpr double kMaxRequestThreads = 320;
 
-// Share of these threads for workers, which are answered at once. A tenth is
-// left for probes and for clients that have not sent a request yet.
+// Share of the request threads for workers, which are answered at once. A tenth
+// is left for probes and for clients that have not sent a request yet.
 inline constexpr double kWorkerThreadShare = 0.15;
 
-// Share of these threads for users.
+// Share of the request threads for users.
 inline constexpr double kUserThreadShare = 0.75;
 
 // Share of all connections for workers. A tenth is left for probes and for
@@ -679,7 +688,7 @@
 // How long a connection of a user or a probe may stay open without a request.
 inline constexpr double kIdleConnectionTimeoutS = 75.0;
 
-// How often connections are checked for this time-out.
+// How often connections are checked for the idle time-out.
 inline constexpr double kIdleCheckIntervalS = 1.0;
 
 // A whole request must be read, and a whole answer written, within this time.
@@ -688,9 +697,9 @@
 // Connections that may wait to be accepted.
 inline constexpr int kMinListenBacklog = 256;
 
-// One more connection may wait for this number of workers that may be
-// connected: all workers of a large fleet connect to a new leader within half a
-// second.
+// One more connection may wait to be accepted for this number of workers that
+// may be connected: all workers of a large fleet connect to a new leader within
+// half a second.
 inline constexpr int kWorkersPerBacklogEntry = 4;
 
 }  // namespace sorrelwood
