--- a/src/core/api/pending_requests.cc
+++ b/src/core/api/pending_requests.cc
@@ -33,7 +33,8 @@
 
 void PendingRequests::AnswerOverloaded(uint64_t request,
                                        const std::string& reason) {
-  Answer(request, 429, protocol::EncodeError(reason), kOverloadedRetryAfterS);
+  Answer(request, 429, protocol::EncodeError(reason),
+         kTooManyRequestsRetryAfterS);
 }
 
 void PendingRequests::AnswerUnavailable(uint64_t request,
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -12,10 +12,10 @@
 
 // The minimum interval between two watches of one node (s). Each response to a
 // watch triggers the next one; the interval keeps all nodes together within
-// kWatchShare of the state service's request rate.
+// kWatchRequestRateShare of the state service's request rate.
 double MinWatchIntervalS(const ClusterSettings& settings) {
   const auto nodes = static_cast<double>(settings.peers.size() + 1);
-  return nodes / (settings.state_requests_per_s * kWatchShare);
+  return nodes / (settings.state_requests_per_s * kWatchRequestRateShare);
 }
 
 }  // namespace
--- a/src/core/controller/job_lifecycle.h
+++ b/src/core/controller/job_lifecycle.h
@@ -42,7 +42,8 @@
   // Called when the job is done or cancelled. Requests its attempts to stop;
   // they count against their team's limit until they are known to have ended.
   void OnJobEnded(const std::string& id);
-  // Ranks the queue, at most every kRankEveryS unless a new job triggers it.
+  // Ranks the queue, at most every kRankingIntervalS unless a new job triggers
+  // it.
   void RankQueueIfDue();
 
  private:
@@ -58,7 +59,7 @@
   CompletionStore* completions_;
   JobFinisher* job_finisher_;
   Rebalancer* rebalancer_;
-  PeriodicTimer rank_timer_{kRankEveryS};
+  PeriodicTimer rank_timer_{kRankingIntervalS};
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/node_health.cc
+++ b/src/core/controller/node_health.cc
@@ -10,11 +10,11 @@
 bool NodeHealth::IsHealthy() const {
   const double unserved_since = context_->unserved_since();
   if (unserved_since == 0) return true;
-  // Peers that were served clearly later (by kShutOutS) show that only this
-  // node is affected, not that the service is down.
+  // Peers that were served clearly later (by kCutOffThresholdS) show that only
+  // this node is affected, not that the service is down.
   const auto served_peers = std::count_if(
       peer_served_at_.begin(), peer_served_at_.end(), [&](const auto& item) {
-        return item.second > unserved_since + kShutOutS;
+        return item.second > unserved_since + kCutOffThresholdS;
       });
   const size_t nodes = settings_->peers.size() + 1;
   return static_cast<size_t>(served_peers) * 2 < nodes;
--- a/src/core/controller/peer_status_exchange.h
+++ b/src/core/controller/peer_status_exchange.h
@@ -32,7 +32,7 @@
         incarnation_(incarnation) {}
 
   // Returns whether a broadcast is due. If so, the next one is due
-  // kPeerStatusEveryS later.
+  // kPeerStatusIntervalS later.
   bool BroadcastDue() { return timer_.Due(context_->now); }
   // Sends a message to all peers. `counts` are those of all jobs on the leader,
   // and empty on other nodes.
@@ -42,7 +42,8 @@
 
  private:
   // Returns the counts that have changed since they were last sent. Every
-  // kPeerStatusFullEvery messages it returns all, since messages may be lost.
+  // kMessagesPerFullPeerStatus messages it returns all, since messages may be
+  // lost.
   std::vector<JobCounts> CountsToSend(const std::vector<JobCounts>& counts);
 
   Context* context_;
@@ -51,7 +52,7 @@
   LeaderElection* election_;
   NodeHealth* node_health_;
   const uint64_t incarnation_;
-  PeriodicTimer timer_{kPeerStatusEveryS};
+  PeriodicTimer timer_{kPeerStatusIntervalS};
   uint64_t sequence_ = 0;                       // of the latest message
   std::map<std::string, JobCounts> last_sent_;  // by job id
 };
--- a/src/core/coordination/completion_store.cc
+++ b/src/core/coordination/completion_store.cc
@@ -55,7 +55,7 @@
           std::strtoul(job_and_chunk.c_str() + slash + 1, nullptr, 10));
       record->first_task = chunk * kTasksPerCompletionRecord;
     }
-    DecodeCompletionBits(record->bits_hex, *record->first_task, kMaxTasks,
+    DecodeCompletionBits(record->bits_hex, *record->first_task, kMaxTasksPerJob,
                          &loaded_tasks_[job_id]);
     stored_keys_[job_id].insert(item.key);
   }
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -141,7 +141,7 @@
 void JobCache::ApplyFinalState(const std::string& id, FinalState state) {
   if (!final_states_.emplace(id, state).second) return;
   final_states_in_order_.push_back(id);
-  if (final_states_in_order_.size() > kFinalStateCacheSize) {
+  if (final_states_in_order_.size() > kFinalStateCacheJobs) {
     final_states_.erase(final_states_in_order_.front());
     final_states_in_order_.pop_front();
   }
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -24,17 +24,17 @@
       // Tasks keep running for the worker's lease after its last answered
       // heartbeat, and must have stopped within cancel_deadline_s of a
       // cancellation that this leader did not see.
-      worker_lease_renewal_window_s_(
-          std::max(kLeaderLeaseS, cancel_deadline_s -
-                                      worker_lease_s * (1 + kClockDrift) -
-                                      kWorkerLeaseMarginS)) {}
+      worker_lease_renewal_window_s_(std::max(
+          kLeaderLeaseS, cancel_deadline_s -
+                             worker_lease_s * (1 + kMaxClockDriftRatio) -
+                             kWorkerLeaseMarginS)) {}
 
 Precondition LeaderElection::leader_precondition() const {
   return Precondition{keys::kLeader, leader_key_version_};
 }
 
 double LeaderElection::dispatch_deadline() const {
-  return lease_confirmed_at_ + kLeaderLeaseS * (1 - kClockDrift) -
+  return lease_confirmed_at_ + kLeaderLeaseS * (1 - kMaxClockDriftRatio) -
          kDispatchLeaseMarginS;
 }
 
@@ -59,7 +59,7 @@
 
 void LeaderElection::Resign(const std::string& reason) {
   if (!leading_ || context_->now < next_resignation_at_) return;
-  next_resignation_at_ = context_->now + kResignIntervalS;
+  next_resignation_at_ = context_->now + kMinResignIntervalS;
   const Precondition own_leader_key = leader_precondition();
   StepDown(reason);
   retry_at_ = context_->now + kResignPauseS;
--- a/src/core/coordination/leader_election.h
+++ b/src/core/coordination/leader_election.h
@@ -52,7 +52,7 @@
   // Stops leading, without touching the leader key.
   void StepDown(const std::string& reason);
   // Steps down and removes the leader key, so that a node that can reach the
-  // workers may take over. Does nothing within kResignIntervalS of the last
+  // workers may take over. Does nothing within kMinResignIntervalS of the last
   // resignation: if all machines are down, no node can reach them.
   void Resign(const std::string& reason);
   std::function<void()> on_leadership_acquired, on_leadership_lost;
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -88,7 +88,7 @@
   std::vector<Entry> batch;
   size_t bytes = 0;
   while (!(urgent_queue_.empty() && normal_queue_.empty()) &&
-         batch.size() < max_entries && bytes < kMaxWriteBytes) {
+         batch.size() < max_entries && bytes < kMaxTransactionValueBytes) {
     auto& queue = urgent_queue_.empty() ? normal_queue_ : urgent_queue_;
     const std::string key = queue.front();
     auto pending = pending_.find(key);
--- a/src/core/jobs/class_profile.h
+++ b/src/core/jobs/class_profile.h
@@ -12,9 +12,10 @@
 
 // The typical job of a class.
 struct ClassProfile {
-  double tasks = 0;             // number of tasks, smoothed over jobs
-  JobSpec spec;                 // of the latest job
-  std::deque<double> arrivals;  // wall times (s), the latest kMaxArrivals
+  double tasks = 0;  // number of tasks, smoothed over jobs
+  JobSpec spec;      // of the latest job
+  std::deque<double>
+      arrivals;  // wall times (s), the latest kMaxArrivalsPerClass
 };
 
 class ClassProfileTable {
--- a/src/core/scheduling/eligibility.cc
+++ b/src/core/scheduling/eligibility.cc
@@ -32,7 +32,8 @@
 }
 
 bool Eligibility::IsReachable(const Machine& machine) const {
-  const double timeout_s = kSilentHeartbeats * settings_->heartbeat_interval_s;
+  const double timeout_s =
+      kSilentHeartbeatIntervals * settings_->heartbeat_interval_s;
   return !machine.contact.unreachable &&
          context_->now - machine.contact.last_heartbeat_at < timeout_s &&
          context_->now - machine.contact.last_delivery_proof_at < timeout_s;
--- a/src/core/scheduling/headroom.h
+++ b/src/core/scheduling/headroom.h
@@ -41,9 +41,9 @@
 
  private:
   // Returns the slots for the jobs expected during one machine boot plus
-  // kHeadroomJobs more. 0 for a class without arrivals for kHeadroomMemoryS,
-  // and never more than the team's quota allows; otherwise unused capacity
-  // would be paid for indefinitely.
+  // kHeadroomExtraJobs more. 0 for a class without arrivals for
+  // kHeadroomRetentionS, and never more than the team's quota allows; otherwise
+  // unused capacity would be paid for indefinitely.
   double SlotsFor(const ClassProfile& profile) const;
   // Returns the shortest boot time of the machine types in use (s); 0 if there
   // are no machines.
--- a/src/core/scheduling/pass_selection.cc
+++ b/src/core/scheduling/pass_selection.cc
@@ -21,13 +21,15 @@
   for (Job* job : jobs->queue()) {
     ++context->work;
     size_t& selected_of_team = selected_by_team[job->spec().team];
-    if (selected.size() >= kPassJobs && selected_of_team >= kPassJobsPerTeam)
+    if (selected.size() >= kJobsPerPass &&
+        selected_of_team >= kMinJobsPerTeamPerPass)
       continue;
     if (!admission->MayStartTask(*job) || !admission->WithinQuota(*job))
       continue;
     selected.push_back(job);
-    if (++selected_of_team == kPassJobsPerTeam) ++complete_teams;
-    if (selected.size() >= kPassJobs && complete_teams >= settings.teams.size())
+    if (++selected_of_team == kMinJobsPerTeamPerPass) ++complete_teams;
+    if (selected.size() >= kJobsPerPass &&
+        complete_teams >= settings.teams.size())
       break;
   }
   return selected;
--- a/src/core/scheduling/pass_selection.h
+++ b/src/core/scheduling/pass_selection.h
@@ -12,8 +12,8 @@
 namespace sorrelwood {
 
 // Reserves quota for services, then returns the first jobs of the queue that
-// may start a task: kPassJobs of them, and further ones until each team has
-// kPassJobsPerTeam.
+// may start a task: kJobsPerPass of them, and further ones until each team has
+// kMinJobsPerTeamPerPass.
 std::vector<Job*> SelectJobs(Context* context, JobTable* jobs,
                              const ClusterSettings& settings,
                              Admission* admission);
--- a/src/core/scheduling/replica_manager.cc
+++ b/src/core/scheduling/replica_manager.cc
@@ -59,7 +59,7 @@
         continue;
       const Job* job = jobs_->Find(task_id.job);
       if (!job) continue;
-      if (left_s > kReplicaLastMoveS && !HasPlaceElsewhere(*job, *machine))
+      if (left_s > kReplicaForcedStopS && !HasPlaceElsewhere(*job, *machine))
         continue;
       attempt.stop = true;
       attempt.stop_grace_s =
@@ -82,7 +82,7 @@
   Statistics statistics;
   for (const Job* job : jobs_->services()) {
     statistics.wanted += job->spec().tasks;
-    statistics.running += machines_->RunningReplicas(*job);
+    statistics.running += machines_->CountRunningReplicas(*job);
   }
   statistics.restarted = restarted_;
   statistics.missing_replica_s = missing_replica_s_;
--- a/src/core/scheduling/replica_manager.h
+++ b/src/core/scheduling/replica_manager.h
@@ -30,7 +30,7 @@
   void OnReplicaEnded(Job* job, uint32_t task, double ran_s);
 
   // Stops replicas on machines with a preemption notice: as soon as another
-  // machine has a place for them, or when only kReplicaLastMoveS are left.
+  // machine has a place for them, or when only kReplicaForcedStopS are left.
   void StopReplicasOnDepartingMachines();
   // Adds up the time that wanted replicas do not run. Called at every tick of
   // the leader.
--- a/src/core/workers/failure_tracker.cc
+++ b/src/core/workers/failure_tracker.cc
@@ -31,12 +31,12 @@
   // A task that keeps failing while other tasks of its job succeed is at fault
   // itself, so the failure does not count against the machine.
   if (job_has_succeeded &&
-      ++job->failures.task_errors[task] >= kBrokenTaskErrors)
+      ++job->failures.task_errors[task] >= kBrokenTaskFailures)
     return;
   // The replicas of this service exit by themselves on any machine, so the exit
   // does not count against this one.
   if (job->replicas.ends_by_itself) return;
-  ++machine->health.errors[job->id()];
+  ++machine->health.failed_attempts[job->id()];
   quarantine_->Reassess(machine);
 }
 
@@ -51,7 +51,7 @@
 }
 
 void FailureTracker::OnTaskSucceeded(Machine* machine) {
-  machine->health.errors.clear();
+  machine->health.failed_attempts.clear();
   if (machine->health.quarantined) quarantine_->Reassess(machine);
 }
 
--- a/src/core/workers/health_monitor.cc
+++ b/src/core/workers/health_monitor.cc
@@ -53,7 +53,7 @@
 
 HealthMonitor::ContactCounts HealthMonitor::UpdateContactCounts() {
   const double recent_contact_s =
-      kFastResignHeartbeats * settings_->heartbeat_interval_s;
+      kFastResignHeartbeatIntervals * settings_->heartbeat_interval_s;
   ContactCounts counts;
   for (const auto& [name, machine] : machines_->all()) {
     if (BlocksRecovery(*machine)) ++counts.blocking_recovery;
@@ -116,7 +116,7 @@
       counts.silent <= std::max(1.0, counts.expected * kEarlyReleaseMaxShare);
   allowed.blocking_recovery =
       counts.blocking_recovery <=
-      std::max(1.0, counts.expected * kBlockingMachineShare);
+      std::max(1.0, counts.expected * kBlockingMachineMaxShare);
   return allowed;
 }
 
@@ -152,11 +152,11 @@
   const bool acknowledgement_overdue =
       machine.lifecycle.from_earlier_term &&
       context_->now - term_started_at_ >
-          kFailoverHeartbeats * settings_->heartbeat_interval_s;
+          kTokenAckHeartbeatIntervals * settings_->heartbeat_interval_s;
   return (acknowledgement_overdue || IsSilent(machine)) &&
          !machine.address.empty() && !machine.contact.push_in_flight &&
          !machine.lifecycle.terminating &&
-         context_->now >= machine.contact.next_push;
+         context_->now >= machine.contact.next_push_at;
 }
 
 // Whether all worker leases that an earlier leader may have renewed on the
@@ -171,12 +171,12 @@
 bool HealthMonitor::BlocksRecovery(const Machine& machine) const {
   // Long enough for the first pushes to have timed out.
   const double min_wait_s =
-      kFailoverHeartbeats * settings_->heartbeat_interval_s + kPushTimeoutS +
-      kPushIntervalS / 2;
+      kTokenAckHeartbeatIntervals * settings_->heartbeat_interval_s +
+      kPushTimeoutS + kPushIntervalS / 2;
   return machine.lifecycle.from_earlier_term &&
          machine.lifecycle.ever_reported && !machine.lifecycle.terminating &&
          machine.contact.unanswered_pushes > 0 &&
-         machine.contact.applied.sequence == 0 &&
+         machine.contact.last_applied.sequence == 0 &&
          context_->now - term_started_at_ > min_wait_s;
 }
 
@@ -220,12 +220,12 @@
 
 void HealthMonitor::PushToken(Machine* machine) {
   machine->contact.push_in_flight = true;
-  machine->contact.next_push = context_->now + kPushIntervalS;
+  machine->contact.next_push_at = context_->now + kPushIntervalS;
   PushedCommands push;
   push.machine = machine->name;
   push.address = machine->address;
   push.fencing_token = election_->term();
-  push.incarnation = machine->contact.applied.incarnation;
+  push.incarnation = machine->contact.last_applied.incarnation;
   const uint64_t push_generation = term_generation_;
   const auto on_result = [this, name = machine->name,
                           push_generation](const PushResult& result) {
@@ -246,7 +246,7 @@
   }
   machine->contact.unanswered_pushes = 0;
   machine->contact.last_delivery_proof_at = context_->now;
-  if (result.heartbeat.id() > machine->contact.applied)
+  if (result.heartbeat.id() > machine->contact.last_applied)
     reconciler_->Apply(machine, result.heartbeat,
                        HeartbeatChannel::kPushResponse);
 }
--- a/src/core/workers/health_monitor.h
+++ b/src/core/workers/health_monitor.h
@@ -48,7 +48,8 @@
     int expected = 0;  // machines that should send heartbeats
     // Of the expected ones: unreachable, or no contact for SilenceThresholdS().
     int silent = 0;
-    // Of the expected ones: no contact for kFastResignHeartbeats intervals.
+    // Of the expected ones: no contact for kFastResignHeartbeatIntervals
+    // intervals.
     int without_recent_contact = 0;
     int blocking_recovery = 0;  // see BlocksRecovery
   };
@@ -63,12 +64,13 @@
 
   // A machine without contact for longer than this (s) is silent.
   double SilenceThresholdS() const {
-    return kSilentHeartbeats * settings_->heartbeat_interval_s;
+    return kSilentHeartbeatIntervals * settings_->heartbeat_interval_s;
   }
   // The longest time (s) that a worker runs its tasks after the latest
   // response: its lease with clock drift, plus the time to stop the tasks.
   double MaxTaskSurvivalS() const {
-    return settings_->worker_lease_s * (1 + kClockDrift) + kWorkerStopS;
+    return settings_->worker_lease_s * (1 + kMaxClockDriftRatio) +
+           kMaxWorkerStopS;
   }
   // The time (steady clock, s) by which the tasks of earlier terms have ended
   // on every worker, even if an earlier leader renewed its lease.
--- a/src/core/workers/quarantine.cc
+++ b/src/core/workers/quarantine.cc
@@ -5,7 +5,7 @@
 namespace sorrelwood {
 
 bool Quarantine::Evidence::ProvesMachineFault() const {
-  return errors_of_succeeding_jobs >= kQuarantineErrors;
+  return errors_of_succeeding_jobs >= kQuarantineFailedAttempts;
 }
 
 bool Quarantine::Evidence::JustifiesQuarantine() const {
@@ -15,7 +15,7 @@
 
 Quarantine::Evidence Quarantine::CollectEvidence(const Machine& machine) const {
   Evidence evidence;
-  for (const auto& [id, errors] : machine.health.errors) {
+  for (const auto& [id, errors] : machine.health.failed_attempts) {
     const Job* job = jobs_->Find(id);
     // Either the job has ended, so the cause is unknown, or the job is at
     // fault.
--- a/src/core/workers/unreconciled_machines.cc
+++ b/src/core/workers/unreconciled_machines.cc
@@ -24,8 +24,8 @@
     return;
   Contribution contribution;
   contribution.from_earlier_term = machine.lifecycle.from_earlier_term;
-  contribution.cpus = machine.type ? machine.type->cpus : kUnknownTypeCpus;
-  contribution.gpus = machine.type ? machine.type->gpus : kUnknownTypeCpus;
+  contribution.cpus = machine.type ? machine.type->cpus : kUnknownTypeCapacity;
+  contribution.gpus = machine.type ? machine.type->gpus : kUnknownTypeCapacity;
   machines_from_earlier_term_ += contribution.from_earlier_term ? 1 : 0;
   cpus_ += contribution.cpus;
   gpus_ += contribution.gpus;
