--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -76,7 +76,7 @@
   CloudResult result;
   result.id = provision.id;
   const HttpAnswer answer = http_.Post(
-      path::kMachines, protocol::EncodeProvisionRequest(provision.rent));
+      path::kMachines, protocol::EncodeProvisionRequest(provision.record));
   result.outcome = OutcomeOfAnswer(answer);
   result.no_capacity = IsNoCapacity(answer);
   if (result.outcome != Outcome::kOk) return result;
--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -51,7 +51,7 @@
   }
   auto job = std::make_shared<LiveJob>();
   job->spec = spec;
-  job->submitted_wall_s = context_->wall;
+  job->submitted_wall_s = context_->wall_time;
   Record(request, std::move(job));
 }
 
--- a/src/core/api/job_lookup.cc
+++ b/src/core/api/job_lookup.cc
@@ -9,24 +9,25 @@
 
 void JobLookup::Find(StateConnection connection, const std::string& id,
                      Callback found) {
-  context_->Get(connection, keys::Live(id),
-                [this, connection, id,
-                 found = std::move(found)](const StateResult& result) {
-                  if (result.outcome == Outcome::kOk && !result.items.empty()) {
-                    const KeyValue& item = result.items[0];
-                    job_cache_->ApplyLiveJob(id, item.version, item.value);
-                    found(JobLocation::kLive);
-                  } else if (result.outcome == Outcome::kConflict) {
-                    FindFinal(connection, id, found);
-                  } else {
-                    found(JobLocation::kNoAnswer);
-                  }
-                });
+  context_->GetKey(
+      connection, keys::Live(id),
+      [this, connection, id,
+       found = std::move(found)](const StateResult& result) {
+        if (result.outcome == Outcome::kOk && !result.items.empty()) {
+          const KeyValue& item = result.items[0];
+          job_cache_->ApplyLiveJob(id, item.version, item.value);
+          found(JobLocation::kLive);
+        } else if (result.outcome == Outcome::kConflict) {
+          FindFinal(connection, id, found);
+        } else {
+          found(JobLocation::kNoAnswer);
+        }
+      });
 }
 
 void JobLookup::FindFinal(StateConnection connection, const std::string& id,
                           Callback found) {
-  context_->Get(
+  context_->GetKey(
       connection, keys::Final(id),
       [this, id, found = std::move(found)](const StateResult& result) {
         if (result.outcome == Outcome::kConflict) {
--- a/src/core/api/pending_requests.cc
+++ b/src/core/api/pending_requests.cc
@@ -27,7 +27,7 @@
   if (pending == pending_.end()) return;  // answered already
   if (pending->second.kind == RequestKind::kPoll) --pending_polls_;
   pending_.erase(pending);
-  context_->out.push_back(
+  context_->actions.push_back(
       ClientResponse{request, status, std::move(body), retry_after_s});
 }
 
--- a/src/core/api/quorum_reads.cc
+++ b/src/core/api/quorum_reads.cc
@@ -77,8 +77,8 @@
 
 void QuorumReads::OnResult(const std::vector<WaitingPoll>& polls,
                            const StateResult& result) {
-  const std::set<std::string> failed(result.failed.begin(),
-                                     result.failed.end());
+  const std::set<std::string> failed(result.failed_preconditions.begin(),
+                                     result.failed_preconditions.end());
   const bool conflict = result.outcome == Outcome::kConflict;
   std::map<std::string, std::vector<uint64_t>> ended;  // requests by job
   for (const WaitingPoll& poll : polls) {
--- a/src/core/autoscaling/premium_scale_out.cc
+++ b/src/core/autoscaling/premium_scale_out.cc
@@ -33,7 +33,7 @@
 
 double PremiumScaleOut::TimeAllowedS(const Job& job, double boot_s) const {
   const double slack_s =
-      jobs_->Slack(job, settings_->objectives, context_->wall, window_s_);
+      jobs_->Slack(job, settings_->objectives, context_->wall_time, window_s_);
   // A deadline that is past, or that comes before a new machine could be up and
   // do the work, is no reason to pay more.
   return slack_s < kPremiumMinBootTimes * boot_s ? window_s_ : slack_s;
--- a/src/core/autoscaling/provisioning_requests.cc
+++ b/src/core/autoscaling/provisioning_requests.cc
@@ -100,7 +100,7 @@
 void ProvisioningRequests::Call(const std::string& name, Request* request,
                                 double dispatch_deadline) {
   request->state = ProvisioningState::kCalling;
-  context_->Rent(
+  context_->Provision(
       request->record, dispatch_deadline,
       [this, name, generation = generation_](const CloudResult& result) {
         if (generation == generation_) OnResult(name, result);
--- a/src/core/balance/bounded_placement.cc
+++ b/src/core/balance/bounded_placement.cc
@@ -6,8 +6,8 @@
 
 bool BoundedPlacement::WouldCrowd(const Job& job,
                                   const Machine& machine) const {
-  if (!bounds_.Allow(job, machine)) return true;
-  // Fetches share the machine's rate: one more would hold up all of them.
+  if (!bounds_.AllowsTask(job, machine)) return true;
+  // Fetches share the machine's bandwidth: one more would delay all of them.
   return !machine.HasImage(job.spec().image) &&
          machine.fetching.size() >=
              static_cast<size_t>(spread_.max_concurrent_fetches);
@@ -15,7 +15,7 @@
 
 uint64_t BoundedPlacement::TieBreak(const Job& job,
                                     const Machine& machine) const {
-  return ImageAffinity(job.spec().image, machine.name);
+  return ImageAffinityRank(job.spec().image, machine.name);
 }
 
 }  // namespace sorrelwood
--- a/src/core/balance/bounded_placement.h
+++ b/src/core/balance/bounded_placement.h
@@ -1,5 +1,6 @@
-// Spreads new tasks: machines that one more task would crowd come after others,
-// and among equals an image's tasks gather on the machines of its hash.
+// Spreads new tasks: machines that one more task would crowd (move over a load
+// bound) are chosen last, and among otherwise equal machines the tasks of an
+// image are placed by image affinity.
 #pragma once
 
 #include <cstdint>
--- a/src/core/balance/image_affinity.cc
+++ b/src/core/balance/image_affinity.cc
@@ -4,9 +4,10 @@
 
 namespace sorrelwood {
 
-uint64_t ImageAffinity(const std::string& image, const std::string& machine) {
-  const XXH64_hash_t of_image = XXH3_64bits(image.data(), image.size());
-  return XXH3_64bits_withSeed(machine.data(), machine.size(), of_image);
+uint64_t ImageAffinityRank(const std::string& image,
+                           const std::string& machine) {
+  const XXH64_hash_t image_hash = XXH3_64bits(image.data(), image.size());
+  return XXH3_64bits_withSeed(machine.data(), machine.size(), image_hash);
 }
 
 }  // namespace sorrelwood
--- a/src/core/balance/image_affinity.h
+++ b/src/core/balance/image_affinity.h
@@ -1,4 +1,4 @@
-// Which machines an image belongs to, by a hash that all controllers share.
+// The preferred machines of an image, by a hash that all controllers share.
 #pragma once
 
 #include <cstdint>
@@ -6,10 +6,12 @@
 
 namespace sorrelwood {
 
-// Rendezvous hashing: among machines that are otherwise equal the one with the
-// least rank takes the image's tasks. So they gather on few machines, also
-// under a new leader, which does not know what the machines have cached; and a
-// machine that comes or goes changes the order of no others.
-uint64_t ImageAffinity(const std::string& image, const std::string& machine);
+// Returns the rank of the machine for the image by rendezvous hashing: among
+// otherwise equal machines the one with the lowest rank runs the image's tasks.
+// So few machines have to fetch the image, also under a new leader, which does
+// not know what the machines have cached. A machine that is added or removed
+// does not change the order of the others.
+uint64_t ImageAffinityRank(const std::string& image,
+                           const std::string& machine);
 
 }  // namespace sorrelwood
--- a/src/core/balance/imbalance.cc
+++ b/src/core/balance/imbalance.cc
@@ -7,10 +7,11 @@
 namespace sorrelwood {
 namespace {
 
-// The largest task that the team has on the machine: one task is no crowd.
+// Returns the cores of the team's largest task on the machine. A single task
+// never makes a machine crowded.
 double LargestTask(const Machine& machine, const std::string& team) {
   double largest = 0;
-  for (const auto& [key, attempt] : machine.attempts)
+  for (const auto& [task_id, attempt] : machine.attempts)
     if (attempt.record->spec.team == team)
       largest = std::max(largest, attempt.cpus);
   return largest;
@@ -18,33 +19,33 @@
 
 }  // namespace
 
-CrowdedMachine ImbalanceMeter::Excess(Machine* machine) const {
+CrowdedMachine ImbalanceMeter::MeasureExcess(Machine* machine) const {
   CrowdedMachine crowded;
   crowded.machine = machine;
   double largest = 0;
   for (const auto& [team, cpus] : machine->team_cpus) {
-    const double bound = bounds_->OfTeam(team, *machine);
-    if (cpus <= bound) continue;
-    const double one_task = LargestTask(*machine, team);
-    largest = std::max(largest, one_task);
-    const double excess = cpus - std::max(bound, one_task);
+    const double team_bound = bounds_->TeamBound(team, *machine);
+    if (cpus <= team_bound) continue;
+    const double largest_of_team = LargestTask(*machine, team);
+    largest = std::max(largest, largest_of_team);
+    const double excess = cpus - std::max(team_bound, largest_of_team);
     if (excess <= 0) continue;
     crowded.excess_by_team[team] = excess;
     crowded.excess_cpus += excess;
   }
-  const double bound = std::max(bounds_->OfAll(*machine), largest);
+  const double total_bound = std::max(bounds_->TotalBound(*machine), largest);
   crowded.excess_cpus =
-      std::max(crowded.excess_cpus, machine->cpus_used - bound);
+      std::max(crowded.excess_cpus, machine->cpus_used - total_bound);
   return crowded;
 }
 
-double ImbalanceMeter::MovableCpus(const CrowdedMachine& crowded,
-                                   SpareCpus* spare) {
+double ImbalanceMeter::TakeMovableCpus(const CrowdedMachine& crowded,
+                                       SpareCpus* spare) {
   double movable = 0;
-  for (const auto& [key, attempt] : crowded.machine->attempts) {
+  for (const auto& [task_id, attempt] : crowded.machine->attempts) {
     if (movable >= crowded.excess_cpus) break;
-    for (auto& [place, cpus] : *spare) {
-      const auto& [type, zone, spot] = place;
+    for (auto& [group, cpus] : *spare) {
+      const auto& [type, zone, spot] = group;
       if (cpus < attempt.cpus ||
           !AllowsLocation(attempt.record->spec, *type, zone, spot))
         continue;
@@ -61,15 +62,17 @@
   SpareCpus spare;
   double used_cpus = 0;
   for (auto& [name, machine] : machines->all()) {
-    if (!LoadBounds::Counts(*machine)) continue;
+    if (!LoadBounds::IsIncluded(*machine)) continue;
     used_cpus += machine->cpus_used;
-    CrowdedMachine crowded = Excess(machine.get());
+    CrowdedMachine crowded = MeasureExcess(machine.get());
     if (crowded.excess_cpus > 0)
       imbalance.crowded.push_back(std::move(crowded));
-    // A machine that one team crowds may have room for others.
-    const double room = std::min(machine->cpus_free(),
-                                 bounds_->OfAll(*machine) - machine->cpus_used);
-    if (room > 0) spare[{machine->type, machine->zone, machine->spot}] += room;
+    // A machine over one team's bound may still have capacity for other teams.
+    const double spare_cpus =
+        std::min(machine->cpus_free(),
+                 bounds_->TotalBound(*machine) - machine->cpus_used);
+    if (spare_cpus > 0)
+      spare[{machine->type, machine->zone, machine->spot}] += spare_cpus;
   }
   std::stable_sort(imbalance.crowded.begin(), imbalance.crowded.end(),
                    [](const CrowdedMachine& a, const CrowdedMachine& b) {
@@ -77,7 +80,7 @@
                    });
   double movable = 0;
   for (const CrowdedMachine& crowded : imbalance.crowded)
-    movable += MovableCpus(crowded, &spare);
+    movable += TakeMovableCpus(crowded, &spare);
   if (used_cpus > 0) imbalance.share = movable / used_cpus;
   return imbalance;
 }
--- a/src/core/balance/imbalance.h
+++ b/src/core/balance/imbalance.h
@@ -1,5 +1,6 @@
-// The measure of load spread (docs/load-spread.md): the share of all cores in
-// use that lies above the machines' bounds although it could be elsewhere.
+// The measure of imbalance (docs/load-spread.md): the fraction of all cores in
+// use that lies above the machines' load bounds although other machines could
+// take it.
 #pragma once
 
 #include <map>
@@ -12,34 +13,36 @@
 
 namespace sorrelwood {
 
-// A machine beyond its bounds, and by how many cores.
+// A machine whose load exceeds a bound, and by how many cores.
 struct CrowdedMachine {
   Machine* machine = nullptr;
-  double excess_cpus = 0;                        // in all, by whichever bound
-  std::map<std::string, double> excess_by_team;  // beyond the team's bound
+  // The excess over the total bound or the sum over teams, whichever is larger.
+  double excess_cpus = 0;
+  std::map<std::string, double> excess_by_team;  // over the team's bound, cores
 };
 
 struct Imbalance {
   double share = 0;                     // of the cores in use; 0 to 1
-  std::vector<CrowdedMachine> crowded;  // the worst first
+  std::vector<CrowdedMachine> crowded;  // by descending excess
 };
 
-// Costs a look at all machines and at the tasks of those beyond their bounds.
+// Measuring iterates over all machines and the tasks of the crowded ones.
 class ImbalanceMeter {
  public:
   explicit ImbalanceMeter(const LoadBounds* bounds) : bounds_(bounds) {}
   Imbalance Measure(MachineTable* machines) const;
 
  private:
-  // Cores that machines of one type, zone and kind could take within their
-  // bounds.
-  using Place = std::tuple<const MachineType*, std::string, bool>;
-  using SpareCpus = std::map<Place, double>;
-
-  CrowdedMachine Excess(Machine* machine) const;
-  // The part of the excess for which there is spare room that the tasks are
-  // allowed to use; takes it.
-  static double MovableCpus(const CrowdedMachine& crowded, SpareCpus* spare);
+  // Machines of the same type, zone and spot flag.
+  using MachineGroup = std::tuple<const MachineType*, std::string, bool>;
+  // Cores that the machines of a group could take within their bounds.
+  using SpareCpus = std::map<MachineGroup, double>;
+
+  CrowdedMachine MeasureExcess(Machine* machine) const;
+  // Returns the part of the excess that fits into spare capacity where its
+  // tasks are allowed to run, and subtracts it from `spare`.
+  static double TakeMovableCpus(const CrowdedMachine& crowded,
+                                SpareCpus* spare);
 
   const LoadBounds* bounds_;
 };
--- a/src/core/balance/load_bounds.h
+++ b/src/core/balance/load_bounds.h
@@ -1,6 +1,7 @@
-// How much load each machine may carry before it counts as crowded: its even
-// part of the demand, and some headroom. This is consistent hashing with
-// bounded loads, with a best fit in place of the ring (docs/load-spread.md).
+// The load bounds of machines. A machine is crowded when its load exceeds a
+// bound: its even share of the demand plus some headroom. This is consistent
+// hashing with bounded loads, with a best fit instead of the ring
+// (docs/load-spread.md).
 #pragma once
 
 #include <map>
@@ -21,31 +22,32 @@
         settings_(settings),
         spread_(spread) {}
 
-  // Takes the demand and the capacity as they are now. Costs a look at all jobs
-  // and machines.
+  // Recomputes demand and capacity. Iterates over all jobs and machines.
   void Update(double now);
 
-  // The cores that a machine may have in use, in all and by one team. Without
-  // any capacity there is no bound.
-  double OfAll(const Machine& machine) const;
-  double OfTeam(const std::string& team, const Machine& machine) const;
+  // The number of cores that may be in use on a machine, by all tasks and by
+  // the tasks of one team. Infinite if the cluster has no capacity.
+  double TotalBound(const Machine& machine) const;
+  double TeamBound(const std::string& team, const Machine& machine) const;
 
-  // One more task of the job keeps the machine within its bounds. A machine
-  // always may have one task of a team, however large.
-  bool Allow(const Job& job, const Machine& machine) const;
+  // Whether the machine stays within its bounds with one more task of the job.
+  // One task of a team is always allowed, however large.
+  bool AllowsTask(const Job& job, const Machine& machine) const;
 
-  // The machine's load is spread: it serves, and is not being emptied.
-  static bool Counts(const Machine& machine) {
+  // Whether the machine takes part in load spread: it is in service and is not
+  // being drained.
+  static bool IsIncluded(const Machine& machine) {
     return machine.InService() && !machine.role.excess;
   }
   double capacity_cpus() const { return capacity_cpus_; }
 
  private:
-  // The machine's part of `demand_cpus`, with headroom.
-  double Part(double demand_cpus, const Machine& machine) const;
-  // Pending cores of the job that could start now within `left_cpus`, which
-  // is lowered by them.
-  static double PendingCpus(const Job& job, double now, double* left_cpus);
+  // Returns the machine's even share of `demand_cpus`, plus headroom.
+  double BoundFor(double demand_cpus, const Machine& machine) const;
+  // Returns the cores of the job's pending tasks that could start now within
+  // the rest of the team's quota, and subtracts them from it.
+  static double TakeStartableCpus(const Job& job, double now,
+                                  double* quota_left_cpus);
 
   JobTable* jobs_;
   MachineTable* machines_;
--- a/src/core/balance/machine_sets.cc
+++ b/src/core/balance/machine_sets.cc
@@ -8,8 +8,8 @@
 
 void MachineSets::Clear() {
   machines_.clear();
-  numbers_.clear();
-  by_place_.clear();
+  number_by_name_.clear();
+  by_group_.clear();
   by_image_.clear();
   all_ = Set();
 }
@@ -17,43 +17,45 @@
 void MachineSets::Add(Machine* machine) {
   const auto number = static_cast<uint32_t>(machines_.size());
   machines_.push_back(machine);
-  numbers_[machine->name] = number;
+  number_by_name_[machine->name] = number;
   all_.add(number);
-  by_place_[{machine->type, machine->zone, machine->spot}].add(number);
+  by_group_[{machine->type, machine->zone, machine->spot}].add(number);
   for (const std::string& image : machine->images) by_image_[image].add(number);
 }
 
 void MachineSets::Remove(const Machine& machine) {
-  const auto number = numbers_.find(machine.name);
-  if (number != numbers_.end()) all_.remove(number->second);
+  const auto number = number_by_name_.find(machine.name);
+  if (number != number_by_name_.end()) all_.remove(number->second);
 }
 
 MachineSets::Set MachineSets::AllowedFor(const JobSpec& spec) const {
   Set allowed;
-  for (const auto& [place, machines] : by_place_)
-    if (AllowsLocation(spec, *place.type, place.zone, place.spot))
+  for (const auto& [group, machines] : by_group_)
+    if (AllowsLocation(spec, *group.type, group.zone, group.spot))
       allowed |= machines;
   return allowed & all_;
 }
 
 MachineSets::Set MachineSets::WithImage(const Set& machines,
                                         const std::string& image) const {
-  const auto holders = by_image_.find(image);
-  return holders == by_image_.end() ? Set() : machines & holders->second;
+  const auto with_image = by_image_.find(image);
+  return with_image == by_image_.end() ? Set() : machines & with_image->second;
 }
 
-std::vector<Machine*> MachineSets::Draw(const Set& machines, size_t count,
-                                        std::mt19937_64* random) const {
-  std::vector<Machine*> drawn;
-  Set left = machines;
-  while (drawn.size() < count && !left.isEmpty()) {
-    std::uniform_int_distribution<uint64_t> ranks(0, left.cardinality() - 1);
+std::vector<Machine*> MachineSets::Sample(const Set& machines, size_t count,
+                                          std::mt19937_64* random) const {
+  std::vector<Machine*> sampled;
+  Set remaining = machines;
+  while (sampled.size() < count && !remaining.isEmpty()) {
+    std::uniform_int_distribution<uint64_t> ranks(0,
+                                                  remaining.cardinality() - 1);
     uint32_t number = 0;
-    if (!left.select(static_cast<uint32_t>(ranks(*random)), &number)) break;
-    left.remove(number);
-    drawn.push_back(machines_[number]);
+    if (!remaining.select(static_cast<uint32_t>(ranks(*random)), &number))
+      break;
+    remaining.remove(number);
+    sampled.push_back(machines_[number]);
   }
-  return drawn;
+  return sampled;
 }
 
 }  // namespace sorrelwood
--- a/src/core/balance/machine_sets.h
+++ b/src/core/balance/machine_sets.h
@@ -1,6 +1,7 @@
-// Compressed sets of machines: where tasks may move to is an intersection of
-// what a job allows, what holds its image and what has room, so that a move
-// costs a few set operations and samples instead of a look at all machines.
+// Compressed sets of machines that tasks may move to. The candidates for a task
+// are an intersection of the machines with room, those that its job allows and
+// those that hold its image, so a move costs a few set operations and samples
+// instead of an iteration over all machines.
 #pragma once
 
 #include <cstdint>
@@ -21,36 +22,36 @@
  public:
   using Set = Roaring;
 
-  // Starts anew without any machine.
   void Clear();
-  // A machine that tasks may move to. Its pointer must stay valid until Clear.
+  // Adds a possible target of moves. The pointer must stay valid until Clear.
   void Add(Machine* machine);
-  // It takes no more tasks.
+  // The machine is no longer a target.
   void Remove(const Machine& machine);
 
-  // The machines whose type, zone and kind the job allows.
+  // Returns the machines whose type, zone and spot flag the job allows.
   Set AllowedFor(const JobSpec& spec) const;
-  // Of them, those that hold the job's image, as far as the leader knows.
+  // Returns those of `machines` that are known to hold the image.
   Set WithImage(const Set& machines, const std::string& image) const;
-  // Up to `count` of them, drawn without repetition.
-  std::vector<Machine*> Draw(const Set& machines, size_t count,
-                             std::mt19937_64* random) const;
+  // Returns up to `count` of `machines`, sampled without replacement.
+  std::vector<Machine*> Sample(const Set& machines, size_t count,
+                               std::mt19937_64* random) const;
   bool empty() const { return all_.isEmpty(); }
 
  private:
-  struct Place {
+  // Machines of the same type, zone and spot flag.
+  struct Group {
     const MachineType* type;
     std::string zone;
     bool spot;
-    bool operator<(const Place& other) const {
+    bool operator<(const Group& other) const {
       return std::tie(type->name, zone, spot) <
              std::tie(other.type->name, other.zone, other.spot);
     }
   };
 
-  std::vector<Machine*> machines_;  // by number in the sets
-  std::map<std::string, uint32_t> numbers_;
-  std::map<Place, Set> by_place_;
+  std::vector<Machine*> machines_;  // indexed by the numbers in the sets
+  std::map<std::string, uint32_t> number_by_name_;
+  std::map<Group, Set> by_group_;
   std::map<std::string, Set> by_image_;
   Set all_;
 };
--- a/src/core/balance/move_budget.cc
+++ b/src/core/balance/move_budget.cc
@@ -7,39 +7,41 @@
 
 }  // namespace
 
-bool MoveBudget::Allows(Times* times, int most, double now) {
+bool MoveBudget::IsBelowLimit(Times* times, int limit, double now) {
   while (!times->empty() && now - times->front() >= kMinuteS)
     times->pop_front();
-  return times->size() < static_cast<size_t>(most);
+  return times->size() < static_cast<size_t>(limit);
 }
 
 bool MoveBudget::Allows(const std::string& team, const std::string& job,
                         double now) {
-  return Allows(&fleet_, spread_.moves_per_minute, now) &&
-         Allows(&teams_[team], spread_.team_moves_per_minute, now) &&
-         Allows(&jobs_[job], spread_.job_moves_per_minute, now);
+  return IsBelowLimit(&all_, spread_.moves_per_minute, now) &&
+         IsBelowLimit(&by_team_[team], spread_.team_moves_per_minute, now) &&
+         IsBelowLimit(&by_job_[job], spread_.job_moves_per_minute, now);
 }
 
-void MoveBudget::Spend(const std::string& team, const std::string& job,
-                       double now) {
-  Prune(&teams_, now);
-  Prune(&jobs_, now);
-  fleet_.push_back(now);
-  teams_[team].push_back(now);
-  jobs_[job].push_back(now);
+void MoveBudget::RecordMove(const std::string& team, const std::string& job,
+                            double now) {
+  Prune(&by_team_, now);
+  Prune(&by_job_, now);
+  all_.push_back(now);
+  by_team_[team].push_back(now);
+  by_job_[job].push_back(now);
 }
 
-void MoveBudget::Prune(std::map<std::string, Times>* all, double now) {
-  for (auto it = all->begin(); it != all->end();) {
-    const bool old = it->second.empty() || now - it->second.back() >= kMinuteS;
-    it = old ? all->erase(it) : std::next(it);
+void MoveBudget::Prune(std::map<std::string, Times>* times_by_name,
+                       double now) {
+  for (auto entry = times_by_name->begin(); entry != times_by_name->end();) {
+    const Times& times = entry->second;
+    const bool expired = times.empty() || now - times.back() >= kMinuteS;
+    entry = expired ? times_by_name->erase(entry) : std::next(entry);
   }
 }
 
 void MoveBudget::Clear() {
-  fleet_.clear();
-  teams_.clear();
-  jobs_.clear();
+  all_.clear();
+  by_team_.clear();
+  by_job_.clear();
 }
 
 }  // namespace sorrelwood
--- a/src/core/balance/rebalancer.h
+++ b/src/core/balance/rebalancer.h
@@ -1,7 +1,7 @@
-// Moves running tasks off crowded and slow machines. A move is a stop, the
-// proof that the task is off its machine, and a start as a new attempt at a
-// place that was held for it; every rule is kept by the same code that places
-// any other task (docs/load-spread.md).
+// Moves running tasks off crowded and slow machines. A move stops the task,
+// waits for proof that it is off its machine, and starts it as a new attempt on
+// the target machine, where capacity was reserved for it. The new attempt is
+// subject to the same placement rules as any other (docs/load-spread.md).
 #pragma once
 
 #include <cstdint>
@@ -25,12 +25,13 @@
 
 enum class MoveReason { kCrowded, kSlow };
 
-// Why a move was given up. What was stopped is then placed like any other task.
+// Why a move was abandoned. Its task, if not done, is then placed like any
+// other.
 enum class MoveFailure {
-  kTooLate,    // its machine did not let go of it in time
-  kJobEnded,   // the task is done, or its job done or cancelled
-  kPlaceLost,  // the machine that it was to move to can't take it any more
-  kNotNow,     // the job may start nothing at this moment
+  kTooLate,          // the task was not proved to be off its machine in time
+  kJobEnded,         // the task is done, or its job done or cancelled
+  kTargetLost,       // the target machine can no longer take the task
+  kStartNotAllowed,  // the task may not be started now
 };
 
 class Rebalancer {
@@ -47,56 +48,63 @@
         meter_(&bounds_),
         budget_(spread) {}
 
-  // Measures, and begins moves while `may_dispatch`. Does nothing unless load
-  // spread is switched on.
+  // Measures the imbalance and, if `may_dispatch`, starts moves. Does nothing
+  // unless moves are enabled in the settings.
   void Tick(bool may_dispatch);
-  // The task is proved to be off its machine and is pending again: if it was
-  // moving it goes to the place that is held for it.
-  void Released(Job* job, uint32_t task, uint64_t term);
-  // The task is complete: it moves nowhere. Called before its machine lets go
-  // of it.
-  void TaskDone(const std::string& job, uint32_t task);
+  // The task is proved to be off its machine and is pending again. If it is
+  // being moved, it is assigned to the target machine.
+  void OnTaskReleased(Job* job, uint32_t task, uint64_t term);
+  // The task is complete: its move, if any, is abandoned. Must be called before
+  // OnTaskReleased for the same attempt.
+  void OnTaskDone(const std::string& job, uint32_t task);
   void OnJobEnded(const std::string& job);
-  // Nothing may be placed on the machine any more.
+  // No tasks may be placed on the machine any more.
   void OnMachineGone(const std::string& machine);
-  // A task of an array ran to its end without interruption.
+  // Records the run time of an array's task that ran to its end without
+  // interruption.
   void LearnRunTime(const std::string& job, const std::string& machine,
                     double ran_s);
-  // Another leads: moves under way are forgotten with all machines.
+  // Forgets all moves in flight, when leadership is lost.
   void Clear();
 
   struct Statistics {
     double imbalance = 0;
-    size_t under_way = 0;  // moves, each with a place that is held
-    uint64_t begun = 0, finished = 0;
-    std::map<MoveFailure, uint64_t> given_up;
+    size_t in_flight = 0;  // moves, each with reserved capacity
+    uint64_t started = 0, finished = 0;
+    std::map<MoveFailure, uint64_t> abandoned;
   };
   Statistics CollectStatistics() const;
 
  private:
   struct Move {
     std::string from, to;
-    double cpus = 0, gpus = 0, memory_gb = 0;  // held at `to`
-    double began_at = 0;
+    double cpus = 0, gpus = 0, memory_gb = 0;  // reserved on `to`
+    double started_at = 0;
   };
   using Moves = std::map<TaskId, Move>;
 
-  bool MayMove();
-  void MoveOffCrowded(const std::vector<CrowdedMachine>& crowded);
-  void MoveOffSlow();
+  // Returns whether tasks should be moved off crowded machines now.
+  bool UpdateReducingImbalance();
+  void MoveTasksOffCrowdedMachines(const std::vector<CrowdedMachine>& crowded);
+  void MoveTasksOffSlowMachines();
   void CollectTargets();
-  // Moves tasks off the machine until `excess` is gone or nothing more can.
-  void Relieve(CrowdedMachine* crowded);
-  // Whether it loses little by a move and has long to go.
-  bool WorthMoving(const TaskId& key, const TaskAttempt& attempt) const;
+  // Moves tasks off the machine until its excess is gone or no task can be
+  // moved.
+  void MoveExcessTasks(CrowdedMachine* crowded);
+  // Whether the task loses little progress by a move and has enough run time
+  // left.
+  bool IsWorthMoving(const TaskId& task_id, const TaskAttempt& attempt) const;
+  // Returns the target for a task of the job, or null.
   Machine* ChooseTarget(const Job& job, const Machine& from);
-  bool CanTake(const Job& job, const Machine& target,
-               const Machine& from) const;
-  void Begin(const TaskId& key, TaskAttempt* attempt, Machine* from,
-             Machine* to, MoveReason reason);
-  void GiveUp(Moves::iterator move, MoveFailure failure);
+  bool CanMoveTo(const Machine& target, const Job& job,
+                 const Machine& from) const;
+  // Starts a move unless the rate limits forbid it.
+  void StartMove(const TaskId& task_id, TaskAttempt* attempt, Machine* from,
+                 Machine* target, MoveReason reason);
+  void AbandonMove(Moves::iterator move, MoveFailure failure);
   void ReleaseCapacity(const Move& move);
-  void GiveUpLate();
+  // Abandons overdue moves, and forgets moves whose cooldown is over.
+  void ExpireMoves();
 
   Context* context_;
   JobTable* jobs_;
@@ -108,19 +116,21 @@
   MoveBudget budget_;
   SpeedTracker speeds_;
   MachineSets targets_;
-  Moves moves_;
+  Moves moves_;  // in flight
+  // When a move of the task last started, for the cooldown.
   std::map<TaskId, double> moved_at_;
 
   double imbalance_ = 0;
-  double uneven_since_ = 0;  // 0: it is within the margin
-  bool evening_out_ = false;
-  double paused_until_ = 0;
-  double next_tick_ = 0;
-  uint64_t begun_ = 0, finished_ = 0;
-  std::map<MoveFailure, uint64_t> given_up_;
+  // Since when the imbalance is at least `start_imbalance`; 0: it is below.
+  double imbalanced_since_ = 0;
+  bool reducing_imbalance_ = false;  // tasks are moved off crowded machines
+  double cooldown_until_ = 0;
+  double next_tick_at_ = 0;
+  uint64_t started_ = 0, finished_ = 0;
+  std::map<MoveFailure, uint64_t> abandoned_;
 };
 
-// A word for logs and metrics.
+// Texts for logs and metrics.
 std::string ToString(MoveReason reason);
 std::string ToString(MoveFailure failure);
 
--- a/src/core/balance/speed_tracker.cc
+++ b/src/core/balance/speed_tracker.cc
@@ -4,17 +4,18 @@
 
 namespace sorrelwood {
 
-void SpeedTracker::Learn(const std::string& job, const std::string& machine,
-                         double ran_s) {
-  JobTimes& times = jobs_[job];
+void SpeedTracker::LearnRunTime(const std::string& job,
+                                const std::string& machine, double ran_s) {
+  JobTimes& times = times_by_job_[job];
   const bool comparable =
       times.tasks >= kSpeedJobTasks && times.mean_s >= kSpeedLeastRunS;
   if (comparable) {
-    MachineRatio& ratio = machines_[machine];
+    MachineRatio& ratio = ratio_by_machine_[machine];
     const double weight = ratio.samples == 0 ? 1 : kSpeedLearning;
     ratio.smoothed += (ran_s / times.mean_s - ratio.smoothed) * weight;
     ++ratio.samples;
-    // Guards against a job whose tasks run mostly on a slow machine.
+    // Slow runs stay out of the mean: otherwise a job whose tasks run mostly on
+    // a slow machine would make that machine look normal.
     if (ran_s >= times.mean_s * kSlowRatio) return;
   }
   ++times.tasks;
@@ -22,14 +23,15 @@
 }
 
 bool SpeedTracker::IsSlow(const std::string& machine) const {
-  const auto ratio = machines_.find(machine);
-  return ratio != machines_.end() && ratio->second.samples >= kSpeedSamples &&
+  const auto ratio = ratio_by_machine_.find(machine);
+  return ratio != ratio_by_machine_.end() &&
+         ratio->second.samples >= kSpeedSamples &&
          ratio->second.smoothed >= kSlowRatio;
 }
 
 void SpeedTracker::Clear() {
-  jobs_.clear();
-  machines_.clear();
+  times_by_job_.clear();
+  ratio_by_machine_.clear();
 }
 
 }  // namespace sorrelwood
--- a/src/core/balance/speed_tracker.h
+++ b/src/core/balance/speed_tracker.h
@@ -1,4 +1,4 @@
-// Which machines are much slower than others at the same work.
+// Detects machines that are much slower than others at the same work.
 #pragma once
 
 #include <cstdint>
@@ -7,30 +7,34 @@
 
 namespace sorrelwood {
 
-// Compares each task's run time with the usual one of its own job, so that the
-// owners' estimates don't matter.
+// Compares each task's run time with the mean of its own job, so that the
+// owners' estimates have no influence.
 class SpeedTracker {
  public:
   // A task of the job ran to its end on the machine without interruption.
-  void Learn(const std::string& job, const std::string& machine, double ran_s);
-  // Its tasks have lately taken kSlowRatio times as long as others.
+  void LearnRunTime(const std::string& job, const std::string& machine,
+                    double ran_s);
+  // Whether its tasks have recently taken at least kSlowRatio times as long as
+  // the other tasks of their jobs.
   bool IsSlow(const std::string& machine) const;
 
-  void ForgetJob(const std::string& job) { jobs_.erase(job); }
-  void ForgetMachine(const std::string& machine) { machines_.erase(machine); }
+  void ForgetJob(const std::string& job) { times_by_job_.erase(job); }
+  void ForgetMachine(const std::string& machine) {
+    ratio_by_machine_.erase(machine);
+  }
   void Clear();
 
  private:
   struct JobTimes {
     uint64_t tasks = 0;
-    double mean_s = 0;  // without those that took far longer
+    double mean_s = 0;  // without tasks that took kSlowRatio times as long
   };
   struct MachineRatio {
     uint64_t samples = 0;
-    double smoothed = 1;  // of run times to the job's mean
+    double smoothed = 1;  // ratio of run times to the jobs' means
   };
-  std::map<std::string, JobTimes> jobs_;
-  std::map<std::string, MachineRatio> machines_;
+  std::map<std::string, JobTimes> times_by_job_;
+  std::map<std::string, MachineRatio> ratio_by_machine_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/controller/catalog_refresher.cc
+++ b/src/core/controller/catalog_refresher.cc
@@ -7,7 +7,8 @@
 void CatalogRefresher::Tick() {
   if (in_flight_ || context_->now < next_request_at_) return;
   in_flight_ = true;
-  context_->Catalog([this](const CloudResult& result) { OnResult(result); });
+  context_->RequestCatalog(
+      [this](const CloudResult& result) { OnResult(result); });
 }
 
 void CatalogRefresher::OnResult(const CloudResult& result) {
--- a/src/core/controller/controller.cc
+++ b/src/core/controller/controller.cc
@@ -54,8 +54,8 @@
   // went on meanwhile.
   const double gap_s = time.steady - context_.now;
   context_.now = time.steady;
-  context_.wall = time.wall;
-  context_.work = 0;
+  context_.wall_time = time.wall;
+  context_.items_examined = 0;
   if (had_input_ && gap_s > kProcessPauseThresholdS) {
     context_.Info("process was paused", {{"seconds", gap_s}});
     leader_role_.OnProcessPause(gap_s);
@@ -63,7 +63,7 @@
   had_input_ = true;
 }
 
-Actions Controller::EndInput() { return std::exchange(context_.out, {}); }
+Actions Controller::EndInput() { return std::exchange(context_.actions, {}); }
 
 Actions Controller::Tick(Time time) {
   BeginInput(time);
@@ -104,7 +104,7 @@
   if (election_.MayRenewWorkerLeases())
     leader_role_.OnHeartbeat(request, heartbeat);
   else
-    context_.out.push_back(RefuseHeartbeat(request));
+    context_.actions.push_back(RefuseHeartbeat(request));
   return EndInput();
 }
 
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -58,7 +58,7 @@
   // See NodeHealth.
   bool Healthy() const { return node_health_.Healthy(); }
   // How many machines and jobs were examined for the last input.
-  uint64_t work() const { return context_.work; }
+  uint64_t work() const { return context_.items_examined; }
   void set_debug(bool debug) { context_.debug = debug; }
 
  private:
--- a/src/core/controller/failover_recovery.cc
+++ b/src/core/controller/failover_recovery.cc
@@ -27,14 +27,15 @@
 }
 
 void FailoverRecovery::Read(const std::string& prefix, Step next) {
-  context_->List(prefix, [this, next = std::move(next),
-                          generation = generation_](const StateResult& result) {
-    if (generation != generation_) return;
-    if (result.outcome == Outcome::kOk)
-      next(result);
-    else
-      OnReadFailed();
-  });
+  context_->ListKeys(prefix,
+                     [this, next = std::move(next),
+                      generation = generation_](const StateResult& result) {
+                       if (generation != generation_) return;
+                       if (result.outcome == Outcome::kOk)
+                         next(result);
+                       else
+                         OnReadFailed();
+                     });
 }
 
 void FailoverRecovery::OnReadFailed() {
--- a/src/core/controller/job_lifecycle.cc
+++ b/src/core/controller/job_lifecycle.cc
@@ -52,7 +52,8 @@
 }
 
 void JobLifecycle::RankQueue() {
-  if (rank_timer_.Due(context_->now)) jobs_->Rank(*settings_, context_->wall);
+  if (rank_timer_.Due(context_->now))
+    jobs_->Rank(*settings_, context_->wall_time);
 }
 
 }  // namespace sorrelwood
--- a/src/core/controller/node_health.cc
+++ b/src/core/controller/node_health.cc
@@ -8,7 +8,7 @@
 namespace sorrelwood {
 
 bool NodeHealth::Healthy() const {
-  const double unserved_since = context_->unserved_since();
+  const double unserved_since = context_->state_unserved_since();
   if (unserved_since == 0) return true;
   // Only what was served since then, and a little later, tells an outage of the
   // service from a fault of this node alone.
--- a/src/core/controller/peer_status_exchange.cc
+++ b/src/core/controller/peer_status_exchange.cc
@@ -22,13 +22,13 @@
   status.term = election_->highest_term();
   status.leader = election_->leading();
   const double served_ago_ms =
-      (context_->now - context_->served_at()) * kMillisecondsPerSecond;
-  status.served_ago_ms =
+      (context_->now - context_->state_served_at()) * kMillisecondsPerSecond;
+  status.state_served_ago_ms =
       static_cast<uint32_t>(std::min(kMaxServedAgoMs, served_ago_ms));
   for (const JobCounts& job : counts)
     if (CachedJob* cached = job_cache_->FindLive(job.id)) cached->counts = job;
   status.jobs = CountsToSend(counts);
-  context_->out.push_back(SendPeerStatus{std::move(status)});
+  context_->actions.push_back(SendPeerStatus{std::move(status)});
 }
 
 std::vector<JobCounts> PeerStatusExchange::CountsToSend(
@@ -51,7 +51,7 @@
   election_->ObserveTerm(status.term);
   node_health_->ObservePeer(
       status.node,
-      context_->now - status.served_ago_ms / kMillisecondsPerSecond);
+      context_->now - status.state_served_ago_ms / kMillisecondsPerSecond);
   // Guards against figures of a leader that has been replaced.
   if (!status.leader || status.term < election_->highest_term()) return;
   for (const JobCounts& counts : status.jobs)
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -19,7 +19,7 @@
 void JobCache::Load() {
   busy_ = true;
   const double sent = context_->now;
-  context_->List(keys::kLive, [this, sent](const StateResult& result) {
+  context_->ListKeys(keys::kLive, [this, sent](const StateResult& result) {
     if (result.outcome != Outcome::kOk) {
       busy_ = false;
       retry_at_ = context_->now + 0.3;
@@ -29,7 +29,7 @@
     // Watching from the listing's revision brings everything later, the
     // leader key included once it is read after it.
     const uint64_t revision = result.revision;
-    context_->Get(
+    context_->GetKey(
         StateConnection::kLeader, keys::kLeader,
         [this, sent, revision](const StateResult& got) {
           busy_ = false;
@@ -55,22 +55,23 @@
   busy_ = true;
   const double sent = context_->now;
   next_watch_ = sent + watch_every_s_;
-  context_->Watch(keys::kWatched, revision_,
-                  [this, sent](const StateResult& result) {
-                    busy_ = false;
-                    if (result.outcome != Outcome::kOk) {
-                      retry_at_ = context_->now + 0.2;
-                      return;
-                    }
-                    if (result.too_old) {
-                      loaded_ = false;
-                      return;
-                    }
-                    for (const KeyValue& change : result.items) Apply(change);
-                    revision_ = std::max(revision_, result.revision);
-                    synced_at_ = std::max(synced_at_, sent);
-                    if (!busy_ && context_->now >= next_watch_) Watch();
-                  });
+  context_->WatchKeys(keys::kWatched, revision_,
+                      [this, sent](const StateResult& result) {
+                        busy_ = false;
+                        if (result.outcome != Outcome::kOk) {
+                          retry_at_ = context_->now + 0.2;
+                          return;
+                        }
+                        if (result.too_old) {
+                          loaded_ = false;
+                          return;
+                        }
+                        for (const KeyValue& change : result.items)
+                          Apply(change);
+                        revision_ = std::max(revision_, result.revision);
+                        synced_at_ = std::max(synced_at_, sent);
+                        if (!busy_ && context_->now >= next_watch_) Watch();
+                      });
 }
 
 void JobCache::Apply(const KeyValue& change) {
@@ -149,7 +150,7 @@
   // from its final key.
   for (const auto& [id, known] : live_) {
     if (present.count(id) || known.version > listing.revision) continue;
-    context_->Get(
+    context_->GetKey(
         StateConnection::kLeader, keys::Final(id),
         [this, id = id](const StateResult& got) {
           if (got.outcome != Outcome::kOk || got.items.empty()) return;
--- a/src/core/coordination/job_finisher.cc
+++ b/src/core/coordination/job_finisher.cc
@@ -46,14 +46,14 @@
 }
 
 void JobFinisher::ReadFinalState(const std::string& id) {
-  context_->Get(StateConnection::kLeader, keys::Final(id),
-                [this, id](const StateResult& result) {
-                  if (result.outcome != Outcome::kOk || result.items.empty())
-                    return;
-                  const auto state =
-                      protocol::ParseFinalState(result.items[0].value);
-                  if (state) job_cache_->ApplyFinalState(id, *state);
-                });
+  context_->GetKey(StateConnection::kLeader, keys::Final(id),
+                   [this, id](const StateResult& result) {
+                     if (result.outcome != Outcome::kOk || result.items.empty())
+                       return;
+                     const auto state =
+                         protocol::ParseFinalState(result.items[0].value);
+                     if (state) job_cache_->ApplyFinalState(id, *state);
+                   });
 }
 
 }  // namespace sorrelwood
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -124,7 +124,7 @@
 }
 
 void LeaderElection::AcquireLeaderKey(uint64_t lease, double created) {
-  context_->Get(
+  context_->GetKey(
       StateConnection::kLeaseRenewal, keys::kTerm,
       [this, lease, created](const StateResult& got) {
         uint64_t term = 0, version = 0;
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -48,19 +48,20 @@
                            std::vector<Mutation> mutations,
                            StateCallback done) {
   preconditions.push_back(election_->leader_precondition());
-  context_->Transact(StateConnection::kLeader, std::move(preconditions),
-                     std::move(mutations),
-                     [this, done = std::move(done),
-                      generation = generation_](const StateResult& result) {
-                       if (generation != generation_) return;
-                       if (result.outcome == Outcome::kConflict &&
-                           std::find(result.failed.begin(), result.failed.end(),
-                                     keys::kLeader) != result.failed.end()) {
-                         election_->StepDown("a write found another leader");
-                         return;
-                       }
-                       done(result);
-                     });
+  context_->Transact(
+      StateConnection::kLeader, std::move(preconditions), std::move(mutations),
+      [this, done = std::move(done),
+       generation = generation_](const StateResult& result) {
+        if (generation != generation_) return;
+        if (result.outcome == Outcome::kConflict &&
+            std::find(result.failed_preconditions.begin(),
+                      result.failed_preconditions.end(),
+                      keys::kLeader) != result.failed_preconditions.end()) {
+          election_->StepDown("a write found another leader");
+          return;
+        }
+        done(result);
+      });
 }
 
 void StateWriter::Tick() {
@@ -166,21 +167,22 @@
 }
 
 void StateWriter::Read(const std::string& key) {
-  context_->Get(StateConnection::kLeader, key,
-                [this, key, generation = generation_](const StateResult& got) {
-                  if (generation != generation_) return;
-                  if (got.outcome == Outcome::kOk && !got.items.empty()) {
-                    versions_[key] = got.items[0].version;
-                    uncertain_.erase(key);
-                  } else if (got.outcome == Outcome::kConflict) {
-                    versions_.erase(key);
-                    uncertain_.erase(key);
-                  } else {
-                    next_send_ = context_->now + kWriteRetryS;
-                  }
-                  if (auto it = waiting_.find(key); it != waiting_.end())
-                    Line(key, it->second.options.urgent);
-                });
+  context_->GetKey(
+      StateConnection::kLeader, key,
+      [this, key, generation = generation_](const StateResult& got) {
+        if (generation != generation_) return;
+        if (got.outcome == Outcome::kOk && !got.items.empty()) {
+          versions_[key] = got.items[0].version;
+          uncertain_.erase(key);
+        } else if (got.outcome == Outcome::kConflict) {
+          versions_.erase(key);
+          uncertain_.erase(key);
+        } else {
+          next_send_ = context_->now + kWriteRetryS;
+        }
+        if (auto it = waiting_.find(key); it != waiting_.end())
+          Line(key, it->second.options.urgent);
+      });
 }
 
 void StateWriter::Clear() {
--- a/src/core/engine/actions.h
+++ b/src/core/engine/actions.h
@@ -1,4 +1,6 @@
-// What the core asks the adapters to do. The core never does any of it itself.
+// Requests of the core to its adapters (state service, cloud, workers, users,
+// peers, log) and the results that come back. The core does no I/O itself. A
+// result has the id of the request that it belongs to.
 #pragma once
 
 #include <cstdint>
@@ -17,16 +19,17 @@
 
 struct Precondition {
   std::string key;
-  uint64_t version = 0;
+  uint64_t version = 0;  // 0: the key must not exist
 };
 struct Mutation {
   bool remove = false;
   std::string key;
   std::string value;   // JSON text
-  uint64_t lease = 0;  // 0: none
+  uint64_t lease = 0;  // whose end removes the key; 0: no lease
 };
 
-// Which connection carries a request: a slow one must not hold up another.
+// Which connection carries a request. They are separate so that a slow request
+// does not delay those of another kind.
 enum class StateConnection { kLeaseRenewal, kLeader, kUser, kPoll };
 
 struct StateTransaction {
@@ -40,7 +43,7 @@
   StateConnection connection = StateConnection::kUser;
   std::string key;
 };
-// Lists everything under a prefix, all pages.
+// Lists all keys with the prefix, over as many pages as it takes.
 struct StateList {
   uint64_t id = 0;
   std::string prefix;
@@ -48,7 +51,7 @@
 struct StateWatch {
   uint64_t id = 0;
   std::string prefix;
-  uint64_t after = 0;
+  uint64_t after = 0;  // revision
 };
 struct LeaseCreate {
   uint64_t id = 0;
@@ -66,12 +69,12 @@
 struct FetchCatalog {
   uint64_t id = 0;
 };
-// What changes the fleet must leave before `not_after` (steady clock, s): after
-// it another leader may act, and a process may stand still between deciding and
-// sending. Later it is not sent.
+// Requests that change the fleet are dropped if they have not been sent by
+// `not_after` (steady clock, s). Another leader may act after that time, and
+// the process may be suspended between the decision and the sending.
 struct ProvisionMachines {
   uint64_t id = 0;
-  ProvisioningRecord rent;
+  ProvisioningRecord record;
   double not_after = std::numeric_limits<double>::infinity();
 };
 struct ReleaseMachines {
@@ -79,13 +82,14 @@
   std::vector<std::string> machines;
   double not_after = std::numeric_limits<double>::infinity();
 };
-// All pages of the machine list, with a pause between two: each page counts
-// against the cloud's rate.
+// Lists the cloud's inventory, all pages. The pause between two pages is needed
+// because each page counts against the cloud's request rate.
 struct ListCloudMachines {
   uint64_t id = 0;
   double page_pause_s = 0;
 };
 
+// Commands sent to a worker's own address, without waiting for its heartbeat.
 struct PushedCommands {
   uint64_t id = 0;
   std::string machine, address;
@@ -94,21 +98,21 @@
 };
 
 struct ClientResponse {
-  uint64_t request = 0;
+  uint64_t request = 0;  // id of the user's request
   int status = 200;
   std::string body;
-  double retry_after_s = 0;
+  double retry_after_s = 0;  // 0: no Retry-After header
 };
 struct HeartbeatResponse {
-  uint64_t request = 0;
-  int status = 200;  // 200, 421 or 503
+  uint64_t request = 0;  // id of the worker's request
+  int status = 200;      // 200, 421 or 503
   uint64_t fencing_token = 0;
   std::vector<Command> commands;
-  std::string redirect;  // with 421: node name, may be empty
+  std::string redirect;  // with 421: the leader's node name; empty: unknown
 };
 
 struct SendPeerStatus {
-  PeerStatus note;
+  PeerStatus status;
 };
 
 using Action =
@@ -118,14 +122,13 @@
                  ClientResponse, HeartbeatResponse, SendPeerStatus, LogEvent>;
 using Actions = std::vector<Action>;
 
-// --- What comes back
-// -----------------------------------------------------------
+// --- Results -----------------------------------------------------------------
 
 enum class Outcome {
   kOk,
-  kConflict,  // a guard did not hold (409), or not found (404)
+  kConflict,  // a precondition did not hold (409), or nothing was found (404)
   kRefused,   // certainly not carried out
-  kUnknown,   // may have been carried out, or may still be
+  kUnknown,   // may have been carried out, or may still be carried out
 };
 
 struct KeyValue {
@@ -135,11 +138,13 @@
   bool removed = false;
 };
 
-// Why the state service refused a transaction for good, or for now.
+// Which limit of the state service a refused transaction exceeded.
 enum class StateRefusal {
   kNone,
-  kTooLarge,        // a value or the transaction is over a limit (400)
-  kTooManyChanges,  // changes beyond the rate (429)
+  // The size of a value or of the transaction (400): a retry is refused again.
+  kTooLarge,
+  // The rate of changes (429): a later retry may succeed.
+  kTooManyChanges,
 };
 
 struct StateResult {
@@ -147,17 +152,20 @@
   Outcome outcome = Outcome::kUnknown;
   StateRefusal refusal = StateRefusal::kNone;  // with kRefused
   uint64_t revision = 0;
-  std::vector<std::string> failed;  // preconditions that did not hold
-  std::vector<KeyValue> items;      // get, list, watch
+  // Keys whose preconditions did not hold.
+  std::vector<std::string> failed_preconditions;
+  std::vector<KeyValue> items;  // get, list, watch
   uint64_t lease = 0;
-  bool too_old = false;  // watch: read the keys again
+  // Watch: changes after the revision asked for are no longer kept, so the keys
+  // must be listed again.
+  bool too_old = false;
 };
 
 struct CloudResult {
   uint64_t id = 0;
   Outcome outcome = Outcome::kUnknown;
   bool no_capacity = false;
-  bool too_late = false;  // refused by our own connection: its time had passed
+  bool too_late = false;  // not sent, because `not_after` had passed
   std::vector<MachineType> types;
   std::vector<std::string> machines;
   std::vector<ListedMachine> listed;
@@ -166,8 +174,8 @@
 struct PushResult {
   uint64_t id = 0;
   bool answered = false;
-  bool accepted = false;  // 200
-  Heartbeat heartbeat;
+  bool accepted = false;  // answered with 200
+  Heartbeat heartbeat;    // from the answer, if accepted
 };
 
 }  // namespace sorrelwood
--- a/src/core/engine/context.h
+++ b/src/core/engine/context.h
@@ -1,5 +1,6 @@
-// What every part of the core shares while it handles one input: the time, the
-// random numbers, the actions to return, and who waits for which result.
+// What all components of the core share while they handle one input: the time,
+// the random source, the actions to return, and the callbacks that wait for
+// results.
 #pragma once
 
 #include <functional>
@@ -21,57 +22,63 @@
  public:
   explicit Context(uint64_t seed) : rng(seed) {}
 
-  double now = 0;   // steady clock, s
-  double wall = 0;  // time of day, s
+  double now = 0;        // steady clock, s
+  double wall_time = 0;  // time of day, s since the epoch
   std::mt19937_64 rng;
-  Actions out;
-  bool debug = false;  // whether debug lines are wanted
-  uint64_t work = 0;   // machines and jobs looked at for this input
+  Actions actions;     // to be returned for this input
+  bool debug = false;  // whether debug lines are logged
+  // Machines and jobs examined for this input, as a measure of its cost.
+  uint64_t items_examined = 0;
 
   void Transact(StateConnection connection,
                 std::vector<Precondition> preconditions,
-                std::vector<Mutation> mutations, StateCallback done) {
-    out.push_back(StateTransaction{Expect(std::move(done)), connection,
-                                   std::move(preconditions),
-                                   std::move(mutations)});
+                std::vector<Mutation> mutations, StateCallback on_result) {
+    actions.push_back(StateTransaction{AddStateCallback(std::move(on_result)),
+                                       connection, std::move(preconditions),
+                                       std::move(mutations)});
   }
-  void Get(StateConnection connection, std::string key, StateCallback done) {
-    out.push_back(
-        StateGet{Expect(std::move(done)), connection, std::move(key)});
+  void GetKey(StateConnection connection, std::string key,
+              StateCallback on_result) {
+    actions.push_back(StateGet{AddStateCallback(std::move(on_result)),
+                               connection, std::move(key)});
   }
-  void List(std::string prefix, StateCallback done) {
-    out.push_back(StateList{Expect(std::move(done)), std::move(prefix)});
+  void ListKeys(std::string prefix, StateCallback on_result) {
+    actions.push_back(
+        StateList{AddStateCallback(std::move(on_result)), std::move(prefix)});
   }
-  void Watch(std::string prefix, uint64_t after, StateCallback done) {
-    out.push_back(
-        StateWatch{Expect(std::move(done)), std::move(prefix), after});
+  void WatchKeys(std::string prefix, uint64_t after, StateCallback on_result) {
+    actions.push_back(StateWatch{AddStateCallback(std::move(on_result)),
+                                 std::move(prefix), after});
   }
-  void CreateLease(double ttl_s, StateCallback done) {
-    out.push_back(LeaseCreate{Expect(std::move(done)), ttl_s});
+  void CreateLease(double ttl_s, StateCallback on_result) {
+    actions.push_back(
+        LeaseCreate{AddStateCallback(std::move(on_result)), ttl_s});
   }
-  void RenewLease(uint64_t lease, StateCallback done) {
-    out.push_back(LeaseRenew{Expect(std::move(done)), lease});
+  void RenewLease(uint64_t lease, StateCallback on_result) {
+    actions.push_back(
+        LeaseRenew{AddStateCallback(std::move(on_result)), lease});
   }
-  void Catalog(CloudCallback done) {
-    out.push_back(FetchCatalog{ExpectCloud(std::move(done))});
+  void RequestCatalog(CloudCallback on_result) {
+    actions.push_back(FetchCatalog{AddCloudCallback(std::move(on_result))});
   }
-  void Rent(ProvisioningRecord rent, double not_after, CloudCallback done) {
-    out.push_back(ProvisionMachines{ExpectCloud(std::move(done)),
-                                    std::move(rent), not_after});
+  void Provision(ProvisioningRecord record, double not_after,
+                 CloudCallback on_result) {
+    actions.push_back(ProvisionMachines{AddCloudCallback(std::move(on_result)),
+                                        std::move(record), not_after});
   }
   void Release(std::vector<std::string> machines, double not_after,
-               CloudCallback done) {
-    out.push_back(ReleaseMachines{ExpectCloud(std::move(done)),
-                                  std::move(machines), not_after});
+               CloudCallback on_result) {
+    actions.push_back(ReleaseMachines{AddCloudCallback(std::move(on_result)),
+                                      std::move(machines), not_after});
   }
-  void ListMachines(double page_pause_s, CloudCallback done) {
-    out.push_back(
-        ListCloudMachines{ExpectCloud(std::move(done)), page_pause_s});
+  void ListMachines(double page_pause_s, CloudCallback on_result) {
+    actions.push_back(ListCloudMachines{AddCloudCallback(std::move(on_result)),
+                                        page_pause_s});
   }
-  void PushCommands(PushedCommands command, PushCallback done) {
-    command.id = next_id_++;
-    direct_[command.id] = std::move(done);
-    out.push_back(std::move(command));
+  void PushCommands(PushedCommands pushed, PushCallback on_result) {
+    pushed.id = next_id_++;
+    push_callbacks_[pushed.id] = std::move(on_result);
+    actions.push_back(std::move(pushed));
   }
 
   void Debug(std::string message, LogFields fields = {}) {
@@ -84,23 +91,29 @@
     Log(LogLevel::kError, std::move(message), std::move(fields));
   }
 
+  // Run the callback that waits for the result.
   void Deliver(const StateResult& result) {
     if (result.outcome == Outcome::kRefused ||
         result.outcome == Outcome::kUnknown) {
-      if (unserved_since_ == 0) unserved_since_ = now;
+      if (state_unserved_since_ == 0) state_unserved_since_ = now;
     } else {
-      unserved_since_ = 0;
-      served_at_ = now;
+      state_unserved_since_ = 0;
+      state_served_at_ = now;
     }
-    Call(state_, result);
+    RunCallback(state_callbacks_, result);
+  }
+  void Deliver(const CloudResult& result) {
+    RunCallback(cloud_callbacks_, result);
+  }
+  void Deliver(const PushResult& result) {
+    RunCallback(push_callbacks_, result);
   }
-  void Deliver(const CloudResult& result) { Call(cloud_, result); }
-  void Deliver(const PushResult& result) { Call(direct_, result); }
 
-  // Since when the state service has served nothing that was asked, whether it
-  // refused or did not answer; 0: it serves.
-  double unserved_since() const { return unserved_since_; }
-  double served_at() const { return served_at_; }
+  // Since when the state service has refused or not answered every request
+  // (steady clock, s); 0: it serves requests.
+  double state_unserved_since() const { return state_unserved_since_; }
+  // When the state service last served a request (steady clock, s; 0: never).
+  double state_served_at() const { return state_served_at_; }
 
   // Uniform in [0, 1).
   double Random() {
@@ -109,31 +122,32 @@
 
  private:
   void Log(LogLevel level, std::string message, LogFields fields) {
-    out.push_back(LogEvent{level, std::move(message), std::move(fields)});
+    actions.push_back(LogEvent{level, std::move(message), std::move(fields)});
   }
-  uint64_t Expect(StateCallback done) {
-    state_[next_id_] = std::move(done);
+  uint64_t AddStateCallback(StateCallback on_result) {
+    state_callbacks_[next_id_] = std::move(on_result);
     return next_id_++;
   }
-  uint64_t ExpectCloud(CloudCallback done) {
-    cloud_[next_id_] = std::move(done);
+  uint64_t AddCloudCallback(CloudCallback on_result) {
+    cloud_callbacks_[next_id_] = std::move(on_result);
     return next_id_++;
   }
-  // A repeated result finds nobody waiting and does nothing.
+  // Calls and removes the callback of a result. A duplicate result has none and
+  // is ignored.
   template <typename Callbacks, typename Result>
-  void Call(Callbacks& callbacks, const Result& result) {
-    auto it = callbacks.find(result.id);
-    if (it == callbacks.end()) return;
-    auto callback = std::move(it->second);
-    callbacks.erase(it);
+  void RunCallback(Callbacks& callbacks, const Result& result) {
+    auto entry = callbacks.find(result.id);
+    if (entry == callbacks.end()) return;
+    auto callback = std::move(entry->second);
+    callbacks.erase(entry);
     callback(result);
   }
 
   uint64_t next_id_ = 1;
-  double unserved_since_ = 0, served_at_ = 0;
-  std::map<uint64_t, StateCallback> state_;
-  std::map<uint64_t, CloudCallback> cloud_;
-  std::map<uint64_t, PushCallback> direct_;
+  double state_unserved_since_ = 0, state_served_at_ = 0;
+  std::map<uint64_t, StateCallback> state_callbacks_;
+  std::map<uint64_t, CloudCallback> cloud_callbacks_;
+  std::map<uint64_t, PushCallback> push_callbacks_;
 };
 
 }  // namespace sorrelwood
--- a/src/core/engine/log_event.cc
+++ b/src/core/engine/log_event.cc
@@ -15,9 +15,9 @@
         if constexpr (std::is_same_v<Type, double>) {
           return fmt::format("{:.3f}", item);
         } else if constexpr (std::is_same_v<Type, std::string>) {
-          const bool plain =
+          const bool needs_no_quotes =
               !item.empty() && item.find(' ') == std::string::npos;
-          return plain ? item : fmt::format("\"{}\"", item);
+          return needs_no_quotes ? item : fmt::format("\"{}\"", item);
         } else {
           return fmt::format("{}", item);
         }
--- a/src/core/engine/log_event.h
+++ b/src/core/engine/log_event.h
@@ -1,5 +1,5 @@
-// Log events: what happened, with named fields. The core makes them; they are
-// turned into text and filtered where they are written.
+// Log events: a message with named fields. The core creates them; the writer
+// filters them by level and formats them.
 #pragma once
 
 #include <concepts>
@@ -40,8 +40,9 @@
   LogFields fields;
 };
 
-// One line: the message, then `name=value` for each field. Numbers with a
-// fraction are given to three places; text with blanks is quoted.
+// Returns one line: the message, then `name=value` for each field. Numbers of
+// type double have three decimal places; text that is empty or has spaces is
+// quoted.
 std::string FormatLogEvent(const LogEvent& event);
 
 }  // namespace sorrelwood
--- a/src/core/model/heartbeat.h
+++ b/src/core/model/heartbeat.h
@@ -1,5 +1,5 @@
-// What workers and the leader tell each other: heartbeats with the status of
-// every task attempt, and commands in return.
+// Messages between workers and the leader: heartbeats with the status of every
+// task attempt, and commands in response.
 #pragma once
 
 #include <compare>
@@ -11,21 +11,22 @@
 namespace sorrelwood {
 
 enum class TaskState {
-  kFetching,  // the image is on its way
+  kFetching,  // the image is being fetched
   kRunning,
-  kSaving,  // writes a checkpoint, after a stop with a grace period
+  kSaving,  // writes a checkpoint, after a stop command with a grace period
   kExited,
 };
 
 // Why an attempt ended.
 enum class ExitReason {
-  kNone,  // it has not
+  kNone,  // it has not ended
   kDone,
   kStopped,  // by a command
   kError,
-  kNoRoom,   // refused: the machine's resources do not suffice
-  kBusy,     // refused: another attempt of the task is still there
-  kUnknown,  // refused: the worker knows of no such job
+  // Starts that the worker refused:
+  kInsufficientResources,  // the machine has not enough free resources
+  kOtherAttemptPresent,    // another attempt of the task is still there
+  kUnknownJob,             // the worker does not know the job
 };
 
 // One task attempt, as its worker reports it.
@@ -38,24 +39,25 @@
   bool saved = false;  // a checkpoint was written
 };
 
-// Identifies one heartbeat of a machine. Ordered as the worker sent them: an
-// agent that starts anew has a higher incarnation and counts from the start.
+// Identifies one heartbeat of a machine, in the order in which the worker sent
+// them: a restarted agent has a higher incarnation and numbers its heartbeats
+// from the beginning.
 struct HeartbeatId {
   uint64_t incarnation = 0, sequence = 0;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
   auto operator<=>(const HeartbeatId&) const = default;
 };
 
-// A worker's periodic report: everything that is on the machine.
+// A worker's periodic report of all task attempts on its machine.
 struct Heartbeat {
   std::string machine, address, type, zone;
   bool spot = false;
-  // Raised when the agent starts anew and has forgotten all its tasks; the
-  // sequence number counts the heartbeats of one incarnation.
+  // The incarnation rises when the agent restarts, which loses all its tasks;
+  // the sequence number counts the heartbeats of one incarnation.
   uint64_t incarnation = 0, sequence = 0;
   uint64_t fencing_token = 0;  // the highest that the worker has seen
-  // The cloud takes the machine back after so long (s).
+  // Time until the cloud reclaims the machine (s).
   std::optional<double> preemption_notice_s;
   std::vector<TaskStatus> tasks;
 
@@ -65,7 +67,7 @@
 enum class CommandKind {
   kStart,
   kStop,
-  kForget,  // drops an attempt that has ended from the heartbeats
+  kForget,  // removes an attempt that has ended from the heartbeats
 };
 
 struct Command {
@@ -73,7 +75,7 @@
   std::string job;
   uint32_t task = 0;
   uint64_t attempt = 0;
-  double grace_s = 0;  // of a stop: time to write a checkpoint
+  double grace_s = 0;  // of a stop: time to write a checkpoint; 0: kill at once
 };
 
 }  // namespace sorrelwood
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -9,7 +9,7 @@
 
 namespace sorrelwood {
 
-// From the least to the most urgent.
+// In ascending order of urgency.
 enum class Priority { kLow = 0, kStandard = 1, kHigh = 2, kProduction = 3 };
 
 enum class JobShape {
@@ -20,7 +20,7 @@
 // What a submission asks for. Resources are per task.
 struct JobSpec {
   std::string id;
-  std::string job_class;  // jobs of one class are alike, see ClassProfile
+  std::string job_class;  // jobs of one class are similar, see ClassProfile
   std::string team;
   JobShape shape = JobShape::kArray;
   Priority priority = Priority::kStandard;
@@ -30,13 +30,13 @@
   double image_gb = 0;
   std::vector<std::string> types;  // machine types allowed; empty: any
   std::string zone;                // empty: any
-  bool one_zone = false;           // all tasks in one zone, whichever
+  bool one_zone = false;           // all tasks run in one zone, of any name
   bool spread = false;             // tasks are spread over zones
   bool spot = false;               // may run on preemptible machines
   double estimate_s = 0;           // the owner's estimate of a task's run time
-  double checkpoint_s = 0;         // interval of checkpoints; 0: none
-  double save_s = 0;               // time that saving a checkpoint takes
-  std::optional<double> deadline_s;  // after the submission
+  double checkpoint_interval_s = 0;  // 0: the job saves no checkpoints
+  double save_s = 0;                 // duration of saving a checkpoint
+  std::optional<double> deadline_s;  // from the submission to the job's end
 
   bool IsService() const { return shape == JobShape::kService; }
 };
@@ -46,14 +46,14 @@
   std::string job;
   uint32_t task = 0;
 
-  // NOLINTNEXTLINE(modernize-use-nullptr): wrong report of clang-tidy 14.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
   auto operator<=>(const TaskId&) const = default;
 };
 
 // How a job ended.
 enum class FinalState { kDone, kCancelled };
 
-// How far a job has come, as users are told.
+// The progress of a job, as it is reported to users.
 struct JobCounts {
   std::string id;
   uint32_t done = 0;     // tasks
--- a/src/core/model/machine_type.h
+++ b/src/core/model/machine_type.h
@@ -10,11 +10,11 @@
 struct MachineType {
   std::string name;
   double cpus = 0, gpus = 0, memory_gb = 0;
-  double cache_gb = 0;        // images that fit on its disk
+  double cache_gb = 0;        // capacity of the image cache on its disk
   double fetch_gb_per_s = 0;  // rate at which images are fetched
   double price = 0, spot_price = 0;
   double boot_s = 0;  // usual time from provisioning to the first heartbeat
-  std::vector<std::string> zones;  // where it can be had
+  std::vector<std::string> zones;  // where it can be provisioned
 };
 
 enum class MachineStatus { kBooting, kRunning, kFailed };
--- a/src/core/model/peer_status.h
+++ b/src/core/model/peer_status.h
@@ -1,4 +1,4 @@
-// What the controllers tell each other once a second.
+// The status that each controller sends to the others once a second.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,12 @@
 struct PeerStatus {
   std::string node;
   uint64_t incarnation = 0;  // of the process
-  uint64_t sequence = 0;
-  uint64_t term = 0;  // the highest known
-  bool leader = false;
-  uint32_t served_ago_ms = 0;   // since the state service last served it
-  std::vector<JobCounts> jobs;  // only from the leader: what has changed
+  uint64_t sequence = 0;     // number of the message in this incarnation
+  uint64_t term = 0;         // the highest known to the sender
+  bool leader = false;       // the sender leads
+  // Time since the state service last served the sender.
+  uint32_t state_served_ago_ms = 0;
+  std::vector<JobCounts> jobs;  // only from the leader: those that changed
 };
 
 }  // namespace sorrelwood
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -12,23 +12,23 @@
 
 namespace sorrelwood {
 
-// The limit of a team that may use all capacity that others leave unused.
+// The limit of a team that may use all capacity the other teams leave unused.
 inline constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
-// Quotas of a team: what it is guaranteed and what it may use at most.
+// Quotas of a team: its guarantee and its limit.
 struct Team {
   std::string name;
   double cpus = 0;      // guaranteed cores
-  double cpus_max = 0;  // most cores, or kNoLimit
+  double cpus_max = 0;  // limit on cores, or kNoLimit
   double gpus = 0;      // guaranteed devices
-  double gpus_max = 0;  // most devices, or kNoLimit
+  double gpus_max = 0;  // limit on devices, or kNoLimit
 };
 
-// A service-level objective of the operators.
+// A service-level objective, set by the operators.
 struct Objective {
   std::string kind;       // "deadline", "wait", "finished", "guarantee", ...
   std::string job_class;  // jobs it applies to; empty: all
-  double within_s = 0;
+  double within_s = 0;    // time limit, for the kinds that have one
   double deadline_factor = 1;  // multiple of a job's own deadline
 };
 
@@ -39,7 +39,7 @@
   std::string address;  // "IP:port"
 };
 
-// What the state service accepts at most.
+// The limits of the state service.
 struct StateLimits {
   double mutations_per_s = 60;  // of all controllers together
   double max_value_kib = 8;     // size of one value
@@ -58,48 +58,48 @@
   std::vector<Team> teams;
   std::vector<Objective> objectives;
   double heartbeat_interval_s = 2;
-  double worker_lease_s = 14;     // a worker kills its tasks when it runs out
-  double cancel_deadline_s = 40;  // a cancelled job's tasks are gone by then
+  double worker_lease_s = 14;     // a worker kills its tasks when it expires
+  double cancel_deadline_s = 40;  // from a job's cancellation to its tasks' end
   double state_requests_per_s = 150;
   double state_mutations_per_s = 60;
   double state_max_value_kib = 8;
   int state_max_mutations_per_transaction = 16;
-  // Announced limits, which may come into force at any time.
+  // Announced limits, which may take effect at any time.
   std::optional<StateLimits> next_state_limits;
   double cloud_requests_per_s = 4;
-  double cloud_list_lag_s = 5;  // age of the cloud's inventory
+  double cloud_list_lag_s = 5;  // how far the cloud's inventory may lag behind
   int socket_limit = 1000;      // open sockets of this process
   double memory_limit_mib = 0;  // of this process; 0: unlimited
-  // Objectives that could not be read, each with its field and reason. They
-  // are left out, since the cluster can be served without them.
+  // Objectives that could not be parsed, each with its field and reason. They
+  // are ignored, since the cluster can be served without them.
   std::vector<std::string> ignored_objectives;
 };
 
-// The operators' own settings (src/config/operator.proto), checked.
+// The operators' own settings (src/config/operator.proto), after validation.
 struct PolicySettings {
-  // A task that has run this long on a rented machine is killed and requeued
-  // for the baseline (`t` in the paper).
+  // A task that has run for this time on a rented machine is killed and
+  // requeued for the baseline (`t` in the paper).
   double speculation_limit_s = 900;
-  // The longest wait for the baseline that a job is asked to accept (`b`).
+  // The longest time that a job waits for the baseline (`b` in the paper).
   double wait_limit_s = 10800;
   // Idle time before a rented machine is released.
   double idle_release_delay_s = 10;
-  // Queued work that running machines get through within this time is not
-  // rented for.
+  // No machines are rented for queued work that the running machines complete
+  // within this time.
   double backlog_limit_s = 30;
-  // The same before machines far dearer than the cheapest are rented.
+  // The same limit for renting machines far more expensive than the cheapest.
   double premium_backlog_limit_s = 300;
   // Size of the baseline at the start, as a share of all guaranteed cores.
   double baseline_initial_share = 0.1;
-  // Time constant with which the baseline follows the load.
+  // Time constant of the smoothing with which the baseline follows the load.
   double baseline_smoothing_s = 30;
   bool use_spot = true;
-  // Interval of fitting the wait predictor's trees.
+  // Interval at which the wait predictor's trees are fitted again.
   double predictor_fit_interval_s = 180;
-  int tree_depth = 4;             // longest path of a tree
-  int tree_min_leaf_samples = 8;  // fewest samples that a leaf rests on
+  int tree_depth = 4;             // maximum depth of a tree
+  int tree_min_leaf_samples = 8;  // minimum number of samples in a leaf
   int tree_count = 5;
-  int tree_max_samples = 2000;  // newest samples that are kept
+  int tree_max_samples = 2000;  // the newest samples are kept
   SpreadSettings spread;
 };
 
--- a/src/core/scheduling/bin_packing.cc
+++ b/src/core/scheduling/bin_packing.cc
@@ -13,7 +13,7 @@
   Machine* best = nullptr;
   FitScore best_score;
   const bool starts_at_once = reserves_->IsReservedFor(job);
-  context_->work += candidates.size();
+  context_->items_examined += candidates.size();
   for (Machine* machine : candidates) {
     if (capacity == CapacityClass::kOwned && !machine->role.baseline) continue;
     if (!machine->Fits(job.spec()) ||
--- a/src/core/scheduling/guarantee_preemption.cc
+++ b/src/core/scheduling/guarantee_preemption.cc
@@ -62,7 +62,7 @@
 
 void GuaranteePreemption::MeasureRooms() {
   rooms_.clear();
-  context_->work += machines_->all().size();
+  context_->items_examined += machines_->all().size();
   for (auto& [name, machine] : machines_->all()) {
     if (!eligibility_->AcceptsTasks(*machine) || !machine->type) continue;
     Room room = MeasureRoom(machine.get());
--- a/src/core/scheduling/headroom.cc
+++ b/src/core/scheduling/headroom.cc
@@ -28,13 +28,13 @@
   if (arrivals.empty()) return 0;
   const auto [first, last] =
       std::minmax_element(arrivals.begin(), arrivals.end());
-  if (context_->wall - *last > kHeadroomMemoryS) return 0;
+  if (context_->wall_time - *last > kHeadroomMemoryS) return 0;
   const auto recent = std::count_if(
       arrivals.begin(), arrivals.end(),
-      [&](double at) { return context_->wall - at < kArrivalWindowS; });
+      [&](double at) { return context_->wall_time - at < kArrivalWindowS; });
   // While few have come, the time since the first tells the rate.
-  const double span_s =
-      std::clamp(context_->wall - *first, kMinArrivalSpanS, kArrivalWindowS);
+  const double span_s = std::clamp(context_->wall_time - *first,
+                                   kMinArrivalSpanS, kArrivalWindowS);
   const double jobs_per_boot =
       static_cast<double>(recent) * ShortestBootS() / span_s;
   const double slots =
--- a/src/core/scheduling/immediate_start_reserves.cc
+++ b/src/core/scheduling/immediate_start_reserves.cc
@@ -47,7 +47,7 @@
 
 double ImmediateStartReserves::CountFreeSlots(size_t index, Reserve* reserve) {
   double all_slots = 0;
-  context_->work += machines_->all().size();
+  context_->items_examined += machines_->all().size();
   for (const auto& [name, machine] : machines_->all()) {
     machine->reserve_slots.resize(index + 1);
     double& slots = machine->reserve_slots[index];
--- a/src/core/scheduling/pass_selection.cc
+++ b/src/core/scheduling/pass_selection.cc
@@ -20,7 +20,7 @@
   std::map<std::string_view, size_t> selected_of_team;
   size_t complete_teams = 0;
   for (Job* job : jobs->queue()) {
-    ++context->work;
+    ++context->items_examined;
     size_t& of_team = selected_of_team[job->spec().team];
     if (selected.size() >= kPassJobs && of_team >= kPassJobsPerTeam) continue;
     if (!admission->MayStartTask(*job) || !admission->WithinQuota(*job))
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -40,7 +40,7 @@
 std::vector<Machine*> Placement::MachinesForPass(
     const std::vector<Job*>& jobs) {
   std::vector<Machine*> candidates;
-  context_->work += machines_->all().size();
+  context_->items_examined += machines_->all().size();
   for (auto& [name, machine] : machines_->all())
     if (machine->cpus_free() > 0 && eligibility_.AcceptsTasks(*machine))
       candidates.push_back(machine.get());
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -57,7 +57,7 @@
   const JobSpec& spec = attempt.record->spec;
   const double ran =
       attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
-  return spec.cpus * (spec.checkpoint_s > 0 ? spec.save_s : ran);
+  return spec.cpus * (spec.checkpoint_interval_s > 0 ? spec.save_s : ran);
 }
 
 uint32_t Preemption::MakeRoomUnderLimit(const Job& job, uint32_t waiting) {
--- a/src/core/scheduling/task_stop.cc
+++ b/src/core/scheduling/task_stop.cc
@@ -8,14 +8,14 @@
   const JobSpec& spec = attempt.record->spec;
   return attempt.job_active && !attempt.stop && attempt.running_since > 0 &&
          now - attempt.running_since > kMinRunBeforeMoveS &&
-         spec.checkpoint_s > 0 && spec.save_s <= kMaxCheckpointSaveS;
+         spec.checkpoint_interval_s > 0 && spec.save_s <= kMaxCheckpointSaveS;
 }
 
 void StopWithCheckpoint(TaskAttempt* attempt) {
   const JobSpec& spec = attempt->record->spec;
   attempt->stop = true;
   attempt->stop_grace_s =
-      spec.checkpoint_s > 0 ? spec.save_s + kSaveGraceMarginS : 0;
+      spec.checkpoint_interval_s > 0 ? spec.save_s + kSaveGraceMarginS : 0;
 }
 
 }  // namespace sorrelwood
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -85,7 +85,7 @@
       const auto wait = predictor_.Predict(ToVector(Observe(job->spec().cpus)));
       attempt.stop = true;
       attempt.stop_grace_s =
-          job->spec().checkpoint_s > 0 ? job->spec().save_s : 0;
+          job->spec().checkpoint_interval_s > 0 ? job->spec().save_s : 0;
       attempt.requeue_for_baseline = !wait || *wait < policy_.wait_limit_s;
       attempt.requeue_on_rented = !attempt.requeue_for_baseline;
       ++killed_;
--- a/src/core/workers/attempt_tracker.cc
+++ b/src/core/workers/attempt_tracker.cc
@@ -62,7 +62,7 @@
     return;
   }
   jobs_->Unplace(job, id.task, machine->zone);
-  rebalancer_->Released(job, id.task, election_->term());
+  rebalancer_->OnTaskReleased(job, id.task, election_->term());
 }
 
 void AttemptTracker::RemovePlanned(Machine* machine) {
--- a/src/core/workers/heartbeat_handler.cc
+++ b/src/core/workers/heartbeat_handler.cc
@@ -35,14 +35,14 @@
 
 void HeartbeatHandler::Refuse(HeartbeatResponse response) {
   response.status = kServiceUnavailable;
-  context_->out.push_back(std::move(response));
+  context_->actions.push_back(std::move(response));
 }
 
 void HeartbeatHandler::HandleDuringRecovery(uint64_t request,
                                             const Heartbeat& heartbeat) {
   HeartbeatResponse response = NewResponse(request);
   response.commands = commands_->StopsForEndedJobs(heartbeat);
-  context_->out.push_back(std::move(response));
+  context_->actions.push_back(std::move(response));
 }
 
 void HeartbeatHandler::Handle(uint64_t request, const Heartbeat& heartbeat) {
@@ -67,7 +67,7 @@
   response.commands = is_latest && IsFromThisTerm(heartbeat)
                           ? PlaceAndSelectCommands(machine, heartbeat)
                           : commands_->StopsForEndedJobs(heartbeat);
-  context_->out.push_back(std::move(response));
+  context_->actions.push_back(std::move(response));
 }
 
 Machine* HeartbeatHandler::FindOrAdd(const Heartbeat& heartbeat) {
--- a/src/core/workers/preemption_notices.cc
+++ b/src/core/workers/preemption_notices.cc
@@ -16,7 +16,8 @@
     if (!job || job->spec().IsService()) continue;
     if (LikelyEndsWithin(*job, attempt, left_s)) continue;
     const JobSpec& spec = job->spec();
-    const bool can_save = spec.checkpoint_s > 0 && spec.save_s < left_s;
+    const bool can_save =
+        spec.checkpoint_interval_s > 0 && spec.save_s < left_s;
     attempt.stop = true;
     attempt.stop_grace_s = can_save ? spec.save_s : 0;
   }
--- a/src/core/workers/task_outcomes.cc
+++ b/src/core/workers/task_outcomes.cc
@@ -25,7 +25,7 @@
   // Before the attempt is removed, so that a task that was about to move and
   // has completed instead is not started elsewhere.
   if (task.reason == ExitReason::kDone && job && !is_service)
-    rebalancer_->TaskDone(task.job, task.task);
+    rebalancer_->OnTaskDone(task.job, task.task);
   if (ended.tracked)
     attempts_->Remove(machine, machine->attempts.find({task.job, task.task}));
   if (ended.tracked && is_service && !ended.told_to_stop &&
@@ -40,12 +40,12 @@
         failures_->OnTaskFailed(machine, job, task.task);
       return;
     }
-    case ExitReason::kNoRoom:
-    case ExitReason::kBusy:
+    case ExitReason::kInsufficientResources:
+    case ExitReason::kOtherAttemptPresent:
       if (ended.tracked)
         machine->health.refused_until = context_->now + kRefusedStartPauseS;
       return;
-    case ExitReason::kUnknown:
+    case ExitReason::kUnknownJob:
       if (ended.tracked && job)
         job->failures.retry_at = context_->now + kJobRetryPauseS;
       return;
@@ -63,7 +63,7 @@
   if (job->spec().IsService()) return;
   // A task with checkpoints may have run only what was left of it, so its run
   // time is no sample.
-  if (ran_s > 0 && job->spec().checkpoint_s == 0) {
+  if (ran_s > 0 && job->spec().checkpoint_interval_s == 0) {
     jobs_->LearnRunTime(job->spec(), ran_s);
     rebalancer_->LearnRunTime(job->id(), machine->name, ran_s);
   }
--- a/src/peer/peer_status_codec.cc
+++ b/src/peer/peer_status_codec.cc
@@ -18,7 +18,7 @@
   status.sequence = message.getSequence();
   status.term = message.getTerm();
   status.leader = message.getLeader();
-  status.served_ago_ms = message.getServedAgoMs();
+  status.state_served_ago_ms = message.getServedAgoMs();
   for (auto job : message.getJobs())
     status.jobs.push_back({job.getJob(), job.getDone(), job.getRunning()});
   return status;
@@ -34,7 +34,7 @@
   message.setSequence(status.sequence);
   message.setTerm(status.term);
   message.setLeader(status.leader);
-  message.setServedAgoMs(status.served_ago_ms);
+  message.setServedAgoMs(status.state_served_ago_ms);
   auto jobs = message.initJobs(static_cast<unsigned>(status.jobs.size()));
   for (unsigned i = 0; i < status.jobs.size(); ++i) {
     jobs[i].setJob(status.jobs[i].id);
--- a/src/protocol/client_codec.cc
+++ b/src/protocol/client_codec.cc
@@ -9,12 +9,12 @@
 
 const char* JobStatusName(JobStatus status) {
   switch (status) {
-    case JobStatus::kQueued: return word::kQueued;
-    case JobStatus::kRunning: return word::kRunning;
-    case JobStatus::kDone: return word::kDone;
-    case JobStatus::kCancelled: return word::kCancelled;
+    case JobStatus::kQueued: return enum_name::kQueued;
+    case JobStatus::kRunning: return enum_name::kRunning;
+    case JobStatus::kDone: return enum_name::kDone;
+    case JobStatus::kCancelled: return enum_name::kCancelled;
   }
-  return word::kQueued;
+  return enum_name::kQueued;
 }
 
 }  // namespace
--- a/src/protocol/client_codec.h
+++ b/src/protocol/client_codec.h
@@ -10,26 +10,26 @@
 
 namespace sorrelwood::protocol {
 
-// What a user is told about a job.
+// The status of a job as it is reported to users.
 enum class JobStatus {
-  kQueued,   // accepted, and no task runs
+  kQueued,   // accepted; no task runs
   kRunning,  // at least one task runs
   kDone,
   kCancelled,
 };
 
-// Returns the job that the body of a submission describes. The error's message
-// is the text of the 400 that the user gets.
+// Parses the body of a submission. The error's message becomes the text of the
+// 400 response.
 ParseResult<JobSpec> ParseSubmission(const std::string& body);
 
-// Returns the answer that gives a job's status alone.
+// Returns the answer with a job's status only.
 std::string EncodeJobStatus(const std::string& id, JobStatus status);
 
-// Returns the answer to a poll for an unfinished job, with its numbers of
-// tasks.
+// Returns the answer to a poll for an unfinished job, with the numbers of its
+// done and running tasks.
 std::string EncodeJobStatus(JobStatus status, const JobCounts& counts);
 
-// Returns the body of an answer that is an error. Workers get the same.
+// Returns the body of an error response, for users and workers.
 std::string EncodeError(const std::string& message);
 
 }  // namespace sorrelwood::protocol
--- a/src/protocol/cloud_codec.cc
+++ b/src/protocol/cloud_codec.cc
@@ -11,38 +11,38 @@
 ParseResult<MachineType> ReadMachineType(const Json& object) {
   JsonReader reader(object);
   MachineType type;
-  type.name = reader.String(field::kTypeName);
-  type.cpus = reader.Number(field::kCpus, 0);
-  type.gpus = reader.Number(field::kGpus, 0, Presence::kOptional);
-  type.memory_gb = reader.Number(field::kMemoryGb, 0);
-  type.cache_gb = reader.Number(field::kCacheGb, 0, Presence::kOptional);
+  type.name = reader.ReadString(field::kTypeName);
+  type.cpus = reader.ReadNumber(field::kCpus, 0);
+  type.gpus = reader.ReadNumber(field::kGpus, 0, Presence::kOptional);
+  type.memory_gb = reader.ReadNumber(field::kMemoryGb, 0);
+  type.cache_gb = reader.ReadNumber(field::kCacheGb, 0, Presence::kOptional);
   type.fetch_gb_per_s =
-      reader.Number(field::kFetchGbPerS, 0, Presence::kOptional);
-  type.price = reader.Number(field::kPrice, 0);
+      reader.ReadNumber(field::kFetchGbPerS, 0, Presence::kOptional);
+  type.price = reader.ReadNumber(field::kPrice, 0);
   type.spot_price = reader.Find(field::kSpotPrice)
-                        ? reader.Number(field::kSpotPrice, 0)
+                        ? reader.ReadNumber(field::kSpotPrice, 0)
                         : type.price;
-  type.boot_s = reader.Number(field::kBootS, 0);
-  type.zones = reader.Strings(field::kZones);
+  type.boot_s = reader.ReadNumber(field::kBootS, 0);
+  type.zones = reader.ReadStrings(field::kZones);
   return reader.Finish(std::move(type));
 }
 
 MachineStatus ParseMachineStatus(const std::string& name) {
-  if (name == word::kRunning) return MachineStatus::kRunning;
-  if (name == word::kFailed) return MachineStatus::kFailed;
+  if (name == enum_name::kRunning) return MachineStatus::kRunning;
+  if (name == enum_name::kFailed) return MachineStatus::kFailed;
   return MachineStatus::kBooting;
 }
 
 ParseResult<ListedMachine> ReadListedMachine(const Json& object) {
   JsonReader reader(object);
   ListedMachine machine;
-  machine.name = reader.String(field::kId);
-  machine.address = reader.String(field::kAddress, Presence::kOptional);
-  machine.type = reader.String(field::kMachineType);
-  machine.zone = reader.String(field::kZone);
-  machine.spot = reader.Bool(field::kSpot, Presence::kOptional);
-  machine.status = ParseMachineStatus(reader.String(field::kStatus));
-  machine.age_s = reader.Number(field::kAgeS, 0, Presence::kOptional);
+  machine.name = reader.ReadString(field::kId);
+  machine.address = reader.ReadString(field::kAddress, Presence::kOptional);
+  machine.type = reader.ReadString(field::kMachineType);
+  machine.zone = reader.ReadString(field::kZone);
+  machine.spot = reader.ReadBool(field::kSpot, Presence::kOptional);
+  machine.status = ParseMachineStatus(reader.ReadString(field::kStatus));
+  machine.age_s = reader.ReadNumber(field::kAgeS, 0, Presence::kOptional);
   return reader.Finish(std::move(machine));
 }
 
@@ -84,7 +84,7 @@
   JsonReader reader(*object);
   if (!reader.Find(field::kMachines))
     return MakeParseError(field::kMachines, "is missing");
-  return reader.Finish(reader.Strings(field::kMachines));
+  return reader.Finish(reader.ReadStrings(field::kMachines));
 }
 
 ParseResult<MachinePage> ParseMachinePage(const std::string& body) {
@@ -92,7 +92,7 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   MachinePage page;
-  page.has_more = reader.Bool(field::kHasMore, Presence::kOptional);
+  page.has_more = reader.ReadBool(field::kHasMore, Presence::kOptional);
   if (!reader.ok()) return tl::unexpected(reader.error());
   auto machines =
       ReadObjects<ListedMachine>(*object, field::kMachines, ReadListedMachine);
--- a/src/protocol/cloud_codec.h
+++ b/src/protocol/cloud_codec.h
@@ -15,30 +15,31 @@
 
 // One page of the inventory.
 struct MachinePage {
-  std::vector<ListedMachine> machines;  // in the order of their names
-  bool has_more = false;                // further pages follow
+  std::vector<ListedMachine> machines;  // ordered by name
+  bool has_more = false;                // another page follows
 };
 
-// Returns the target of a request for one page of the inventory: at most
-// `limit` machines, from the first whose name is after `after`, or from the
-// beginning if that is empty.
+// Returns the target (path and query) of a request for one page of the
+// inventory: at most `limit` machines whose names are after `after`. An empty
+// `after` gives the first page.
 std::string MachinePageTarget(const std::string& after, size_t limit);
 
 // Returns the body of a request for new machines.
 std::string EncodeProvisionRequest(const ProvisioningRecord& request);
 
-// Returns the body of a request that gives machines back.
+// Returns the body of a request that releases machines.
 std::string EncodeReleaseRequest(const std::vector<std::string>& machines);
 
-// Returns the machine types on offer. A catalogue without any is an error.
+// Returns the machine types of a catalogue. A catalogue without types is an
+// error.
 ParseResult<std::vector<MachineType>> ParseCatalog(const std::string& body);
 
 // Returns the names of the machines that the cloud has provisioned.
 ParseResult<std::vector<std::string>> ParseMachineNames(
     const std::string& body);
 
-// Returns one page of the inventory. Machines of an unknown status count as
-// booting.
+// Returns one page of the inventory. A machine with an unknown status is read
+// as booting.
 ParseResult<MachinePage> ParseMachinePage(const std::string& body);
 
 }  // namespace sorrelwood::protocol
--- a/src/protocol/field_names.h
+++ b/src/protocol/field_names.h
@@ -1,7 +1,7 @@
-// The vocabulary of the published protocol: every field name, enumeration value
-// and path that sorrelwood reads or writes, each mapped once to the term that
-// the code uses for it. The strings are fixed by the protocol. No other file
-// spells them out.
+// Names in the published protocol: every field name, enumeration value and path
+// that sorrelwood reads or writes. Each constant has the term that the code
+// uses; its string is fixed by the protocol. No other file of src/ repeats the
+// strings.
 #pragma once
 
 namespace sorrelwood::protocol {
@@ -10,7 +10,7 @@
 // sizes in gigabytes (`Gb`).
 namespace field {
 
-// Of several messages.
+// Fields of several messages.
 inline constexpr char kId[] = "uid";  // of a job, or of a listed machine
 inline constexpr char kStatus[] = "status";
 inline constexpr char kAddress[] = "endpoint";
@@ -20,11 +20,12 @@
 inline constexpr char kMachines[] = "perches";
 inline constexpr char kZone[] = "room";
 inline constexpr char kZones[] = "rooms";
+// Of a job: it may use spot machines; of a machine or request: it is spot.
 inline constexpr char kSpot[] = "loaners";
 inline constexpr char kCpus[] = "cores";
 inline constexpr char kGpus[] = "cards";
 inline constexpr char kMemoryGb[] = "memory_gb";
-inline constexpr char kTasks[] = "parts";  // their number, or a list of them
+inline constexpr char kTasks[] = "parts";  // a number, or a list of statuses
 inline constexpr char kHasMore[] = "has_next";
 
 // Users: submissions and answers.
@@ -37,7 +38,7 @@
 inline constexpr char kOneZone[] = "one_zone";
 inline constexpr char kSpread[] = "scatter";
 inline constexpr char kEstimateS[] = "expected_s";
-inline constexpr char kCheckpointS[] = "bookmark_s";
+inline constexpr char kCheckpointIntervalS[] = "bookmark_s";
 inline constexpr char kSaveS[] = "stash_s";
 inline constexpr char kDeadlineS[] = "due_s";
 inline constexpr char kDoneTasks[] = "done";
@@ -56,7 +57,7 @@
 inline constexpr char kCommands[] = "orders";
 inline constexpr char kCommandKind[] = "verb";
 inline constexpr char kGraceS[] = "leeway_s";
-inline constexpr char kRedirect[] = "steward";  // the node to report to
+inline constexpr char kRedirect[] = "steward";  // node name of the leader
 
 // Cloud: catalogue, provisioning and inventory.
 inline constexpr char kProvisioningName[] = "hire";
@@ -87,7 +88,7 @@
 }  // namespace field
 
 // Values of enumerations.
-namespace word {
+namespace enum_name {
 
 // JobShape
 inline constexpr char kArray[] = "sweep";
@@ -99,21 +100,21 @@
 inline constexpr char kStandard[] = "standard";
 inline constexpr char kLow[] = "low";
 
-// Status of a job, as its user is told; kRunning below is the fourth.
+// JobStatus; also kRunning.
 inline constexpr char kDone[] = "done";
 inline constexpr char kCancelled[] = "cancelled";
 inline constexpr char kQueued[] = "queued";
 
-// TaskState; kRunning is also a status of jobs and of machines.
+// TaskState
 inline constexpr char kRunning[] = "running";
 inline constexpr char kSaving[] = "flushing";
 inline constexpr char kExited[] = "ended";
 
 // ExitReason; also kDone.
 inline constexpr char kStopped[] = "halted";
-inline constexpr char kNoRoom[] = "full";
-inline constexpr char kBusy[] = "in_use";
-inline constexpr char kUnknown[] = "no_such";
+inline constexpr char kInsufficientResources[] = "full";
+inline constexpr char kOtherAttemptPresent[] = "in_use";
+inline constexpr char kUnknownJob[] = "no_such";
 
 // CommandKind
 inline constexpr char kStart[] = "launch";
@@ -123,14 +124,14 @@
 // MachineStatus; also kRunning.
 inline constexpr char kFailed[] = "failed";
 
-}  // namespace word
+}  // namespace enum_name
 
 // Paths of requests.
 namespace path {
 
-// Workers send heartbeats here.
+// Served by controllers: workers send heartbeats.
 inline constexpr char kHeartbeat[] = "/agent/beat";
-// Workers take commands here.
+// Served by workers: controllers push commands.
 inline constexpr char kPushCommands[] = "/commands";
 
 // Cloud.
@@ -142,16 +143,16 @@
 inline constexpr char kKeys[] = "/keys";
 inline constexpr char kTransaction[] = "/multi";
 inline constexpr char kLeases[] = "/leases";
-inline constexpr char kRenew[] = "/renew";  // after the path of a lease
+inline constexpr char kRenew[] = "/renew";  // appended to the path of a lease
 inline constexpr char kWatch[] = "/follow";
 
 }  // namespace path
 
-// Names of parameters in the query part of a path.
+// Names of query parameters.
 namespace query {
 
 inline constexpr char kPrefix[] = "under";
-inline constexpr char kAfter[] = "after";  // a name, a key or a revision
+inline constexpr char kAfter[] = "after";  // a machine name, key or revision
 inline constexpr char kLimit[] = "most";
 inline constexpr char kWaitMs[] = "wait_ms";
 
--- a/src/protocol/identifiers.cc
+++ b/src/protocol/identifiers.cc
@@ -23,7 +23,7 @@
   return true;
 }
 
-std::string TaskName(const std::string& job, uint32_t task) {
+std::string FormatTaskName(const std::string& job, uint32_t task) {
   return job + "/" + std::to_string(task);
 }
 
--- a/src/protocol/identifiers.h
+++ b/src/protocol/identifiers.h
@@ -8,15 +8,15 @@
 
 namespace sorrelwood::protocol {
 
-// True for "job-" followed by letters, digits and dashes, of at most
-// kMaxIdLength bytes in all.
+// Whether `id` is "job-" followed by one or more letters, digits and dashes, at
+// most kMaxIdLength bytes in total.
 bool IsValidJobId(const std::string& id);
 
 // Returns the name of a task, such as "job-000412/3".
-std::string TaskName(const std::string& job, uint32_t task);
+std::string FormatTaskName(const std::string& job, uint32_t task);
 
-// Returns the job and the task's number; nothing if `name` is not a job, a
-// slash and one to six digits. The job's id is not checked.
+// Parses a job id, a slash and a task number of one to six digits. Returns
+// nullopt for any other form. The job id itself is not validated.
 std::optional<TaskId> ParseTaskName(const std::string& name);
 
 }  // namespace sorrelwood::protocol
--- a/src/protocol/job_spec_codec.cc
+++ b/src/protocol/job_spec_codec.cc
@@ -12,20 +12,20 @@
 
 const char* PriorityName(Priority priority) {
   switch (priority) {
-    case Priority::kProduction: return word::kProduction;
-    case Priority::kHigh: return word::kHigh;
-    case Priority::kStandard: return word::kStandard;
-    case Priority::kLow: return word::kLow;
+    case Priority::kProduction: return enum_name::kProduction;
+    case Priority::kHigh: return enum_name::kHigh;
+    case Priority::kStandard: return enum_name::kStandard;
+    case Priority::kLow: return enum_name::kLow;
   }
-  return word::kStandard;
+  return enum_name::kStandard;
 }
 
 const char* ShapeName(JobShape shape) {
   switch (shape) {
-    case JobShape::kArray: return word::kArray;
-    case JobShape::kService: return word::kService;
+    case JobShape::kArray: return enum_name::kArray;
+    case JobShape::kService: return enum_name::kService;
   }
-  return word::kArray;
+  return enum_name::kArray;
 }
 
 std::optional<JobShape> ParseShape(const std::string& name) {
@@ -42,73 +42,77 @@
 }
 
 void ReadIdentity(JsonReader* reader, JobSpec* spec) {
-  spec->id = reader->String(field::kId);
+  spec->id = reader->ReadString(field::kId);
   if (reader->ok() && !IsValidJobId(spec->id))
     reader->Fail(field::kId, "is not a job id");
-  spec->job_class = reader->String(field::kJobClass);
-  spec->team = reader->String(field::kTeam);
+  spec->job_class = reader->ReadString(field::kJobClass);
+  spec->team = reader->ReadString(field::kTeam);
 }
 
 void ReadShape(JsonReader* reader, JobSpec* spec) {
   const std::optional<JobShape> shape =
-      ParseShape(reader->String(field::kShape));
+      ParseShape(reader->ReadString(field::kShape));
   if (shape)
     spec->shape = *shape;
   else
-    reader->Fail(field::kShape, std::string("must be ") + word::kArray +
-                                    " or " + word::kService);
+    reader->Fail(field::kShape, std::string("must be ") + enum_name::kArray +
+                                    " or " + enum_name::kService);
 }
 
 void ReadPriority(JsonReader* reader, JobSpec* spec) {
   const std::optional<Priority> priority =
-      ParsePriority(reader->String(field::kPriority));
+      ParsePriority(reader->ReadString(field::kPriority));
   if (priority)
     spec->priority = *priority;
   else
-    reader->Fail(field::kPriority, std::string("must be ") + word::kProduction +
-                                       ", " + word::kHigh + ", " +
-                                       word::kStandard + " or " + word::kLow);
+    reader->Fail(field::kPriority,
+                 std::string("must be ") + enum_name::kProduction + ", " +
+                     enum_name::kHigh + ", " + enum_name::kStandard + " or " +
+                     enum_name::kLow);
 }
 
-// Number of tasks, and what each takes of its machine.
+// Reads the number of tasks and the resources of each.
 void ReadResources(JsonReader* reader, Presence newer_fields, JobSpec* spec) {
-  const uint64_t tasks = reader->Count(field::kTasks);
+  const uint64_t tasks = reader->ReadCount(field::kTasks);
   if (tasks < 1 || tasks > kMaxTasks)
     reader->Fail(field::kTasks,
                  "must be from 1 to " + std::to_string(kMaxTasks));
   spec->tasks = static_cast<uint32_t>(tasks);
-  spec->cpus = reader->Number(field::kCpus, 0);
-  spec->gpus = reader->Number(field::kGpus, 0, newer_fields);
-  spec->memory_gb = reader->Number(field::kMemoryGb, 0);
+  spec->cpus = reader->ReadNumber(field::kCpus, 0);
+  spec->gpus = reader->ReadNumber(field::kGpus, 0, newer_fields);
+  spec->memory_gb = reader->ReadNumber(field::kMemoryGb, 0);
   if (spec->cpus <= 0 && spec->gpus <= 0)
     reader->Fail(field::kCpus, std::string("must be more than 0 where no ") +
                                    field::kGpus + " are asked for");
 }
 
-// The image, and the machines that the tasks may run on.
+// Reads the image and the constraints on machines.
 void ReadPlacement(JsonReader* reader, Presence newer_fields, JobSpec* spec) {
-  spec->image = reader->String(field::kImage, newer_fields);
-  spec->image_gb = reader->Number(field::kImageGb, 0, newer_fields);
-  spec->types = reader->Strings(field::kMachineTypes);
+  spec->image = reader->ReadString(field::kImage, newer_fields);
+  spec->image_gb = reader->ReadNumber(field::kImageGb, 0, newer_fields);
+  spec->types = reader->ReadStrings(field::kMachineTypes);
   if (reader->Find(field::kMachineTypes) && spec->types.empty())
     reader->Fail(field::kMachineTypes, "must be null or name a machine type");
-  spec->zone = reader->String(field::kZone, Presence::kOptional);
-  spec->one_zone = reader->Bool(field::kOneZone, newer_fields);
-  spec->spread = reader->Bool(field::kSpread, newer_fields);
-  spec->spot = reader->Bool(field::kSpot, newer_fields);
+  spec->zone = reader->ReadString(field::kZone, Presence::kOptional);
+  spec->one_zone = reader->ReadBool(field::kOneZone, newer_fields);
+  spec->spread = reader->ReadBool(field::kSpread, newer_fields);
+  spec->spot = reader->ReadBool(field::kSpot, newer_fields);
 }
 
+// Reads the run time estimate, the checkpoint times and the deadline.
 void ReadTimes(JsonReader* reader, Presence newer_fields, JobSpec* spec) {
-  spec->estimate_s = reader->Number(field::kEstimateS, 0, newer_fields);
-  spec->checkpoint_s = reader->Number(field::kCheckpointS, 0, newer_fields);
-  spec->save_s = reader->Number(field::kSaveS, 0, newer_fields);
+  spec->estimate_s = reader->ReadNumber(field::kEstimateS, 0, newer_fields);
+  spec->checkpoint_interval_s =
+      reader->ReadNumber(field::kCheckpointIntervalS, 0, newer_fields);
+  spec->save_s = reader->ReadNumber(field::kSaveS, 0, newer_fields);
   if (reader->Find(field::kDeadlineS))
-    spec->deadline_s = reader->Number(field::kDeadlineS, 0);
+    spec->deadline_s = reader->ReadNumber(field::kDeadlineS, 0);
 }
 
 }  // namespace
 
 ParseResult<JobSpec> ReadJobSpec(const Json& object, JobSpecSource source) {
+  // Fields that records of earlier versions lack.
   const Presence newer_fields = source == JobSpecSource::kSubmission
                                     ? Presence::kRequired
                                     : Presence::kOptional;
@@ -138,7 +142,7 @@
                  {field::kSpread, spec.spread},
                  {field::kSpot, spec.spot},
                  {field::kEstimateS, spec.estimate_s},
-                 {field::kCheckpointS, spec.checkpoint_s},
+                 {field::kCheckpointIntervalS, spec.checkpoint_interval_s},
                  {field::kSaveS, spec.save_s}};
   if (!spec.image.empty()) object[field::kImage] = spec.image;
   if (!spec.types.empty()) object[field::kMachineTypes] = spec.types;
--- a/src/protocol/job_spec_codec.h
+++ b/src/protocol/job_spec_codec.h
@@ -1,5 +1,5 @@
-// The description of a job, with the field names of POST /submissions. Users
-// submit it, and records of unfinished jobs hold it.
+// Job specifications, with the field names of POST /submissions. They are part
+// of submissions and of the stored records of unfinished jobs.
 #pragma once
 
 #include "core/model/job.h"
@@ -7,16 +7,16 @@
 
 namespace sorrelwood::protocol {
 
-// Where a description was written, which decides what it may lack.
+// The origin of a specification, which decides which fields may be absent.
 enum class JobSpecSource {
-  kSubmission,  // only fields that may be null may be absent
-  kRecord,      // also those that earlier versions left out
+  kSubmission,  // only fields that may be null
+  kRecord,      // also fields that earlier versions did not write
 };
 
-// Returns the job that `object` describes, or the first field that is wrong.
+// Returns the job specification, or an error for the first invalid field.
 ParseResult<JobSpec> ReadJobSpec(const Json& object, JobSpecSource source);
 
-// Returns an object without the optional fields that are not set.
+// Returns a JSON object that omits optional fields that are not set.
 Json WriteJobSpec(const JobSpec& spec);
 
 }  // namespace sorrelwood::protocol
--- a/src/protocol/json_reader.cc
+++ b/src/protocol/json_reader.cc
@@ -8,8 +8,8 @@
 namespace {
 
 constexpr double kMaxNumber = 1e12;
-// The largest whole number that is read from a decimal; below 2^53, so each is
-// represented exactly.
+// The largest integer that is accepted as a decimal. It is below 2^53, so every
+// integer up to it has an exact representation as a double.
 constexpr double kMaxDecimalCount = 9e15;
 
 }  // namespace
@@ -31,13 +31,13 @@
 }
 
 const Json* JsonReader::Find(const char* field) const {
-  const auto found = object_.find(field);
-  if (found == object_.end() || found->is_null()) return nullptr;
-  return &*found;
+  const auto value = object_.find(field);
+  if (value == object_.end() || value->is_null()) return nullptr;
+  return &*value;
 }
 
-std::string JsonReader::String(const char* field, Presence presence,
-                               EmptyString empty) {
+std::string JsonReader::ReadString(const char* field, Presence presence,
+                                   EmptyString empty) {
   const Json* value = Find(field);
   if (!value) {
     FailIfRequired(field, presence);
@@ -54,8 +54,8 @@
   return text;
 }
 
-double JsonReader::Number(const char* field, double minimum,
-                          Presence presence) {
+double JsonReader::ReadNumber(const char* field, double minimum,
+                              Presence presence) {
   const Json* value = Find(field);
   if (!value) {
     FailIfRequired(field, presence);
@@ -73,7 +73,7 @@
   return number;
 }
 
-uint64_t JsonReader::Count(const char* field, Presence presence) {
+uint64_t JsonReader::ReadCount(const char* field, Presence presence) {
   const Json* value = Find(field);
   if (!value) {
     FailIfRequired(field, presence);
@@ -90,7 +90,7 @@
   return 0;
 }
 
-bool JsonReader::Bool(const char* field, Presence presence) {
+bool JsonReader::ReadBool(const char* field, Presence presence) {
   const Json* value = Find(field);
   if (!value) {
     FailIfRequired(field, presence);
@@ -103,22 +103,22 @@
   return value->get<bool>();
 }
 
-std::vector<std::string> JsonReader::Strings(const char* field) {
-  std::vector<std::string> texts;
+std::vector<std::string> JsonReader::ReadStrings(const char* field) {
+  std::vector<std::string> strings;
   const Json* value = Find(field);
-  if (!value) return texts;
+  if (!value) return strings;
   if (!value->is_array()) {
     Fail(field, "must be a list of strings");
-    return texts;
+    return strings;
   }
   for (const Json& item : *value) {
     if (!item.is_string()) {
       Fail(field, "must be a list of strings");
-      return texts;
+      return strings;
     }
-    texts.push_back(item.get<std::string>());
+    strings.push_back(item.get<std::string>());
   }
-  return texts;
+  return strings;
 }
 
 void JsonReader::Fail(const char* field, std::string reason) {
--- a/src/protocol/json_reader.h
+++ b/src/protocol/json_reader.h
@@ -1,6 +1,6 @@
-// Reading and writing JSON without exceptions. JsonReader checks each field it
-// reads against the expected type and range and remembers the first error. For
-// the codecs of this folder only.
+// Parsing and writing JSON without exceptions. JsonReader validates type and
+// range of each field that it reads, and keeps the first error. Only the codecs
+// of this folder use this header.
 #pragma once
 
 #include <cstdint>
@@ -15,37 +15,39 @@
 
 using Json = nlohmann::json;
 
-// Returns the parsed text; a discarded value if it is not JSON.
+// Returns the parsed text, or a discarded value (is_discarded()) if it is not
+// JSON.
 Json ParseJson(const std::string& text);
 
-// Returns the parsed text, or an error without a field if it is not a JSON
-// object.
+// Returns the parsed text, or an error with an empty field name if it is not a
+// JSON object.
 ParseResult<Json> ParseJsonObject(const std::string& text);
 
 // Returns compact JSON text with the fields of objects in alphabetical order.
 // Bytes that are not valid UTF-8 are replaced.
 std::string WriteJson(const Json& value);
 
-// Whether a field may be absent or null; it then reads as its type's default.
+// Whether a field must be present. An optional field that is absent or null
+// reads as the default of its type.
 enum class Presence { kRequired, kOptional };
 
-// Reads the fields of one object. A field that is wrong reads as its type's
-// default (strings of a wrong length read as they are), and the first error is
-// kept for error().
+// Reads the fields of one object. An invalid field reads as the default of its
+// type, except that a string of invalid length is returned unchanged. The first
+// error is kept for error().
 class JsonReader {
  public:
-  // Every other string is refused when it is empty.
+  // Whether an empty string is an error.
   enum class EmptyString { kRefused, kAllowed };
 
   // `object` must outlive the reader.
   explicit JsonReader(const Json& object) : object_(object) {}
 
-  // True while every field read was as it should be.
+  // True if no field so far was invalid.
   bool ok() const { return ok_; }
-  // The first error; only when not ok().
+  // The first error. Only valid if not ok().
   const ParseError& error() const { return error_; }
 
-  // Returns `value`, or the first error if there was one.
+  // Returns `value` if ok(), otherwise the first error.
   template <typename Value>
   ParseResult<Value> Finish(Value value) const {
     if (!ok_) return tl::unexpected(error_);
@@ -55,20 +57,22 @@
   // Returns the field's value; null if the field is absent or null.
   const Json* Find(const char* field) const;
 
-  // A string of at most kMaxIdLength bytes.
-  std::string String(const char* field, Presence presence = Presence::kRequired,
-                     EmptyString empty = EmptyString::kRefused);
-  // A finite number from `minimum` to 1e12.
-  double Number(const char* field, double minimum,
-                Presence presence = Presence::kRequired);
-  // A whole number, 0 or more; also written as a decimal, such as 16.0.
-  uint64_t Count(const char* field, Presence presence = Presence::kRequired);
-  // True or false.
-  bool Bool(const char* field, Presence presence = Presence::kRequired);
-  // A list of strings of any length; empty if it is absent.
-  std::vector<std::string> Strings(const char* field);
-
-  // Records an error unless there is an earlier one.
+  // Reads a string of at most kMaxIdLength bytes.
+  std::string ReadString(const char* field,
+                         Presence presence = Presence::kRequired,
+                         EmptyString empty = EmptyString::kRefused);
+  // Reads a finite number from `minimum` to 1e12.
+  double ReadNumber(const char* field, double minimum,
+                    Presence presence = Presence::kRequired);
+  // Reads a non-negative integer. A decimal with an integral value, such
+  // as 16.0, is accepted.
+  uint64_t ReadCount(const char* field,
+                     Presence presence = Presence::kRequired);
+  bool ReadBool(const char* field, Presence presence = Presence::kRequired);
+  // Reads an optional list of strings of any length. Empty if it is absent.
+  std::vector<std::string> ReadStrings(const char* field);
+
+  // Records an error unless there already is one.
   void Fail(const char* field, std::string reason);
 
  private:
@@ -79,9 +83,10 @@
   ParseError error_;
 };
 
-// Returns what `read_object` makes of each object in the list `field` of
-// `object`; its result is a Value or a ParseResult of one. The first error, or
-// one that the field is missing, no list, or holds something else, ends it.
+// Applies `read_object`, which returns a Value or a ParseResult<Value>, to each
+// object in the list `field` of `object`. Returns the first error: of
+// `read_object`, or because the field is missing, is not a list, or holds an
+// item that is not an object.
 template <typename Value, typename ReadObject>
 ParseResult<std::vector<Value>> ReadObjects(const Json& object,
                                             const char* field,
--- a/src/protocol/state_service_codec.cc
+++ b/src/protocol/state_service_codec.cc
@@ -11,7 +11,7 @@
 
 constexpr double kMsPerS = 1000;
 
-std::string Parameter(const char* name, const std::string& value) {
+std::string FormatParameter(const char* name, const std::string& value) {
   return std::string(name) + "=" + value;
 }
 
@@ -31,7 +31,7 @@
   return object;
 }
 
-// Fields that are absent read as their type's default.
+// Absent fields read as the default of their type.
 KeyValue ReadItem(const Json& object) {
   KeyValue item;
   item.key = object.value(field::kKey, "");
@@ -44,12 +44,12 @@
 ParseResult<KeyValue> ReadChange(const Json& object) {
   JsonReader reader(object);
   KeyValue change;
-  change.version = reader.Count(field::kVersion);
+  change.version = reader.ReadCount(field::kVersion);
   if (reader.Find(field::kRemove)) {
     change.removed = true;
-    change.key = reader.String(field::kRemove);
+    change.key = reader.ReadString(field::kRemove);
   } else {
-    change.key = reader.String(field::kSet);
+    change.key = reader.ReadString(field::kSet);
     if (const Json* value = reader.Find(field::kValue))
       change.value = WriteJson(*value);
   }
@@ -65,18 +65,19 @@
 std::string ItemPageTarget(const std::string& prefix, const std::string& after,
                            int limit) {
   std::string target = std::string(path::kKeys) + "?" +
-                       Parameter(query::kPrefix, prefix) + "&" +
-                       Parameter(query::kLimit, std::to_string(limit));
-  if (!after.empty()) target += "&" + Parameter(query::kAfter, after);
+                       FormatParameter(query::kPrefix, prefix) + "&" +
+                       FormatParameter(query::kLimit, std::to_string(limit));
+  if (!after.empty()) target += "&" + FormatParameter(query::kAfter, after);
   return target;
 }
 
 std::string WatchTarget(const std::string& prefix, uint64_t after,
                         double wait_s) {
   const auto wait_ms = std::lround(wait_s * kMsPerS);
-  return std::string(path::kWatch) + "?" + Parameter(query::kPrefix, prefix) +
-         "&" + Parameter(query::kAfter, std::to_string(after)) + "&" +
-         Parameter(query::kWaitMs, std::to_string(wait_ms));
+  return std::string(path::kWatch) + "?" +
+         FormatParameter(query::kPrefix, prefix) + "&" +
+         FormatParameter(query::kAfter, std::to_string(after)) + "&" +
+         FormatParameter(query::kWaitMs, std::to_string(wait_ms));
 }
 
 std::string RenewLeaseTarget(uint64_t lease) {
@@ -105,8 +106,8 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   TransactionAnswer answer;
-  answer.revision = reader.Count(field::kRevision);
-  answer.failed_keys = reader.Strings(field::kFailedKeys);
+  answer.revision = reader.ReadCount(field::kRevision);
+  answer.failed_keys = reader.ReadStrings(field::kFailedKeys);
   return reader.Finish(std::move(answer));
 }
 
@@ -123,8 +124,8 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   ItemPage page;
-  page.has_more = reader.Bool(field::kHasMore, Presence::kOptional);
-  page.revision = reader.Count(field::kRevision);
+  page.has_more = reader.ReadBool(field::kHasMore, Presence::kOptional);
+  page.revision = reader.ReadCount(field::kRevision);
   if (!reader.ok()) return tl::unexpected(reader.error());
   auto items = ReadObjects<KeyValue>(*object, field::kItems, ReadItem);
   if (!items) return tl::unexpected(items.error());
@@ -136,7 +137,7 @@
   const ParseResult<Json> object = ParseJsonObject(body);
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
-  return reader.Finish(reader.Count(field::kLease));
+  return reader.Finish(reader.ReadCount(field::kLease));
 }
 
 ParseResult<WatchAnswer> ParseWatchAnswer(const std::string& body) {
@@ -144,9 +145,9 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   WatchAnswer answer;
-  answer.revision = reader.Count(field::kRevision);
+  answer.revision = reader.ReadCount(field::kRevision);
   if (!reader.ok()) return tl::unexpected(reader.error());
-  if (!reader.Find(field::kEvents)) return answer;  // nothing has changed
+  if (!reader.Find(field::kEvents)) return answer;  // no changes
   auto changes = ReadObjects<KeyValue>(*object, field::kEvents, ReadChange);
   if (!changes) return tl::unexpected(changes.error());
   answer.changes = std::move(*changes);
--- a/src/protocol/state_service_codec.h
+++ b/src/protocol/state_service_codec.h
@@ -12,9 +12,9 @@
 
 namespace sorrelwood::protocol {
 
-// The answer to a transaction, carried out (200) or not (409).
+// The answer to a transaction that was committed (200) or not (409).
 struct TransactionAnswer {
-  uint64_t revision = 0;                 // of the store, after it
+  uint64_t revision = 0;                 // of the store, after the transaction
   std::vector<std::string> failed_keys;  // whose preconditions did not hold
 };
 
@@ -22,39 +22,44 @@
 struct ItemPage {
   uint64_t revision = 0;  // of the store, when the page was read
   std::vector<KeyValue> items;
-  bool has_more = false;  // further pages follow
+  bool has_more = false;  // another page follows
 };
 
 // The answer to a watch.
 struct WatchAnswer {
-  uint64_t revision = 0;  // from which the next watch continues
+  uint64_t revision = 0;  // after which the next watch continues
   std::vector<KeyValue> changes;
 };
 
-// Returns the target of a read of one key.
+// Each function named ...Target returns the target (path and query) of a
+// request.
+
+// Reads one key.
 std::string KeyTarget(const std::string& key);
 
-// Returns the target of a request for one page of a listing: at most `limit`
-// keys with the prefix, from the first after `after`, or from the beginning if
-// that is empty.
+// Reads one page of a listing: at most `limit` keys with the prefix that are
+// after `after`. An empty `after` gives the first page.
 std::string ItemPageTarget(const std::string& prefix, const std::string& after,
                            int limit);
 
-// Returns the target of a watch that ends with the first change of a key with
-// the prefix after revision `after`, or after `wait_s` seconds.
+// Waits for changes after revision `after` of keys with the prefix, for at most
+// `wait_s` seconds.
 std::string WatchTarget(const std::string& prefix, uint64_t after,
                         double wait_s);
 
-// Returns the target of a lease's renewal.
+// Renews a lease.
 std::string RenewLeaseTarget(uint64_t lease);
 
-// Returns the body of a transaction. Without mutations it only compares.
+// Returns the body of a transaction. Without mutations the transaction only
+// checks its preconditions.
 std::string EncodeTransaction(const StateTransaction& transaction);
 
-// Returns the body of a request for a lease of `ttl_s` seconds.
+// Returns the body of a request for a lease with a time to live of `ttl_s`
+// seconds.
 std::string EncodeLeaseRequest(double ttl_s);
 
-// Each returns what an answer says, or the first field that is wrong.
+// Each parser returns the content of an answer, or an error for the first
+// invalid field.
 ParseResult<TransactionAnswer> ParseTransactionAnswer(const std::string& body);
 ParseResult<KeyValue> ParseItem(const std::string& body);
 ParseResult<ItemPage> ParseItemPage(const std::string& body);
--- a/src/protocol/stored_records_codec.cc
+++ b/src/protocol/stored_records_codec.cc
@@ -9,7 +9,7 @@
 namespace sorrelwood::protocol {
 namespace {
 
-// Names of fields of several records.
+// Fields of several records.
 constexpr char kName[] = "name";
 constexpr char kType[] = "type";
 constexpr char kZone[] = "zone";
@@ -18,7 +18,7 @@
 
 // LiveJob
 constexpr char kSpec[] = "spec";
-constexpr char kSubmittedAt[] = "at";
+constexpr char kSubmittedWallS[] = "at";
 
 // LeaderRecord
 constexpr char kNode[] = "node";
@@ -33,23 +33,23 @@
 
 // CompletionRecord
 constexpr char kFirstTask[] = "from";
-constexpr char kBits[] = "bits";
+constexpr char kBitsHex[] = "bits";
 constexpr char kHexDigits[] = "0123456789abcdef";
 
 // FinalState, as JSON text.
-constexpr char kDone[] = "\"done\"";
-constexpr char kCancelled[] = "\"cancelled\"";
+constexpr char kDoneJson[] = "\"done\"";
+constexpr char kCancelledJson[] = "\"cancelled\"";
 
-// Reads the form of a part of a job's tasks, which says where it begins.
+// Reads a record for a part of a job's tasks, which contains its first task.
 ParseResult<CompletionRecord> ReadCompletionPart(const Json& object) {
   JsonReader reader(object);
-  const uint64_t first_task = reader.Count(kFirstTask);
+  const uint64_t first_task = reader.ReadCount(kFirstTask);
   if (!reader.ok()) return tl::unexpected(reader.error());
   if (first_task >= kMaxTasks)
     return MakeParseError(kFirstTask, "is out of range");
-  const Json* bits = reader.Find(kBits);
+  const Json* bits = reader.Find(kBitsHex);
   if (!bits || !bits->is_string())
-    return MakeParseError(kBits, "must be a string");
+    return MakeParseError(kBitsHex, "must be a string");
   return CompletionRecord{static_cast<uint32_t>(first_task),
                           bits->get<std::string>()};
 }
@@ -64,8 +64,8 @@
 }  // namespace
 
 std::string EncodeLiveJob(const LiveJob& job) {
-  return WriteJson(
-      {{kSpec, WriteJobSpec(job.spec)}, {kSubmittedAt, job.submitted_wall_s}});
+  return WriteJson({{kSpec, WriteJobSpec(job.spec)},
+                    {kSubmittedWallS, job.submitted_wall_s}});
 }
 
 ParseResult<LiveJob> ParseLiveJob(const std::string& text) {
@@ -73,7 +73,7 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   LiveJob job;
-  job.submitted_wall_s = reader.Number(kSubmittedAt, 0);
+  job.submitted_wall_s = reader.ReadNumber(kSubmittedWallS, 0);
   if (!reader.ok()) return tl::unexpected(reader.error());
   const Json* spec_object = reader.Find(kSpec);
   if (!spec_object || !spec_object->is_object())
@@ -85,12 +85,12 @@
 }
 
 std::string EncodeFinalState(FinalState state) {
-  return state == FinalState::kDone ? kDone : kCancelled;
+  return state == FinalState::kDone ? kDoneJson : kCancelledJson;
 }
 
 ParseResult<FinalState> ParseFinalState(const std::string& text) {
-  if (text == kDone) return FinalState::kDone;
-  if (text == kCancelled) return FinalState::kCancelled;
+  if (text == kDoneJson) return FinalState::kDone;
+  if (text == kCancelledJson) return FinalState::kCancelled;
   return MakeParseError("", "the record is no final state");
 }
 
@@ -103,8 +103,8 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   LeaderRecord leader;
-  leader.node = reader.String(kNode);
-  leader.term = reader.Count(kTerm);
+  leader.node = reader.ReadString(kNode);
+  leader.term = reader.ReadCount(kTerm);
   return reader.Finish(std::move(leader));
 }
 
@@ -114,7 +114,7 @@
   const ParseResult<Json> object = ParseJsonObject(text);
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
-  return reader.Finish(reader.Count(kTerm));
+  return reader.Finish(reader.ReadCount(kTerm));
 }
 
 std::string EncodeProvisioningRecord(const ProvisioningRecord& request) {
@@ -133,13 +133,13 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   ProvisioningRecord request;
-  request.name = reader.String(kName);
-  request.type = reader.String(kType);
-  request.zone = reader.String(kZone);
-  request.spot = reader.Bool(kSpot);
-  request.count = static_cast<int>(reader.Count(kCount));
-  request.answered = reader.Bool(kAnswered);
-  request.machines = reader.Strings(kMachines);
+  request.name = reader.ReadString(kName);
+  request.type = reader.ReadString(kType);
+  request.zone = reader.ReadString(kZone);
+  request.spot = reader.ReadBool(kSpot);
+  request.count = static_cast<int>(reader.ReadCount(kCount));
+  request.answered = reader.ReadBool(kAnswered);
+  request.machines = reader.ReadStrings(kMachines);
   return reader.Finish(std::move(request));
 }
 
@@ -156,25 +156,25 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   MachineRecord machine;
-  machine.name = reader.String(kName);
-  machine.type = reader.String(kType);
-  machine.zone = reader.String(kZone);
-  machine.address = reader.String(kAddress, Presence::kOptional);
-  machine.spot = reader.Bool(kSpot);
+  machine.name = reader.ReadString(kName);
+  machine.type = reader.ReadString(kType);
+  machine.zone = reader.ReadString(kZone);
+  machine.address = reader.ReadString(kAddress, Presence::kOptional);
+  machine.spot = reader.ReadBool(kSpot);
   return reader.Finish(std::move(machine));
 }
 
 std::string EncodeCompletionRecord(const CompletionRecord& record) {
   if (!record.first_task) return WriteJson(record.bits_hex);
   return WriteJson(
-      {{kFirstTask, *record.first_task}, {kBits, record.bits_hex}});
+      {{kFirstTask, *record.first_task}, {kBitsHex, record.bits_hex}});
 }
 
 ParseResult<CompletionRecord> ParseCompletionRecord(const std::string& text) {
   ParseResult<CompletionRecord> record = ReadCompletionRecord(ParseJson(text));
   if (record &&
       record->bits_hex.find_first_not_of(kHexDigits) != std::string::npos)
-    return MakeParseError(kBits, "must be hexadecimal digits");
+    return MakeParseError(kBitsHex, "must be hexadecimal digits");
   return record;
 }
 
--- a/src/protocol/stored_records_codec.h
+++ b/src/protocol/stored_records_codec.h
@@ -1,7 +1,7 @@
-// The controllers' own records in the state service. They are no part of the
-// published protocol, but each version must read what the others wrote:
-// tests/stored_forms_test.cc holds the bytes. An error in the result of a
-// parser means that the record was damaged or written by something else.
+// The controllers' own records in the state service. They are not part of the
+// published protocol, but each version must read records of the other versions:
+// tests/stored_forms_test.cc fixes the bytes. A parser returns an error if a
+// record is damaged or was written by another program.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 namespace sorrelwood::protocol {
 
-// A job that has not ended. Its description has the field names of the
+// A job that has not ended. Its specification has the field names of the
 // published protocol.
 std::string EncodeLiveJob(const LiveJob& job);
 ParseResult<LiveJob> ParseLiveJob(const std::string& text);
@@ -22,11 +22,11 @@
 std::string EncodeFinalState(FinalState state);
 ParseResult<FinalState> ParseFinalState(const std::string& text);
 
-// The present leader. The record goes with the leader's lease.
+// The current leader. The record is removed when the leader's lease ends.
 std::string EncodeLeaderRecord(const LeaderRecord& leader);
 ParseResult<LeaderRecord> ParseLeaderRecord(const std::string& text);
 
-// The latest term of any leader. The record stays.
+// The latest term of any leader. The record is not bound to a lease.
 std::string EncodeTerm(uint64_t term);
 ParseResult<uint64_t> ParseTerm(const std::string& text);
 
--- a/src/protocol/worker_codec.cc
+++ b/src/protocol/worker_codec.cc
@@ -13,53 +13,59 @@
 namespace sorrelwood::protocol {
 namespace {
 
-// Bounds a notice that is long over.
+// The time left may be negative, after the machine should have been reclaimed;
+// this only limits the range of the field.
 constexpr double kMinPreemptionNoticeS = -1e9;
 
 TaskState ParseTaskState(const std::string& name) {
-  if (name == word::kExited) return TaskState::kExited;
-  if (name == word::kSaving) return TaskState::kSaving;
-  if (name == word::kRunning) return TaskState::kRunning;
-  return TaskState::kFetching;  // unknown states count as holding the machine
+  if (name == enum_name::kExited) return TaskState::kExited;
+  if (name == enum_name::kSaving) return TaskState::kSaving;
+  if (name == enum_name::kRunning) return TaskState::kRunning;
+  return TaskState::kFetching;  // an unknown state must count as still present
 }
 
 ExitReason ParseExitReason(const std::string& name) {
-  if (name == word::kDone) return ExitReason::kDone;
-  if (name == word::kStopped) return ExitReason::kStopped;
-  if (name == word::kNoRoom) return ExitReason::kNoRoom;
-  if (name == word::kBusy) return ExitReason::kBusy;
-  if (name == word::kUnknown) return ExitReason::kUnknown;
+  if (name == enum_name::kDone) return ExitReason::kDone;
+  if (name == enum_name::kStopped) return ExitReason::kStopped;
+  if (name == enum_name::kInsufficientResources)
+    return ExitReason::kInsufficientResources;
+  if (name == enum_name::kOtherAttemptPresent)
+    return ExitReason::kOtherAttemptPresent;
+  if (name == enum_name::kUnknownJob) return ExitReason::kUnknownJob;
   return ExitReason::kError;
 }
 
 ParseResult<TaskStatus> ReadTaskStatus(const Json& object) {
   JsonReader reader(object);
-  const std::optional<TaskId> id = ParseTaskName(reader.String(field::kTask));
+  const std::optional<TaskId> id =
+      ParseTaskName(reader.ReadString(field::kTask));
   if (!id) return MakeParseError(field::kTask, "is not a task's name");
   TaskStatus task;
   task.job = id->job;
   task.task = id->task;
-  task.attempt = reader.Count(field::kAttempt);
-  task.state = ParseTaskState(reader.String(field::kStatus));
+  task.attempt = reader.ReadCount(field::kAttempt);
+  task.state = ParseTaskState(reader.ReadString(field::kStatus));
   if (task.state == TaskState::kExited)
-    task.reason =
-        ParseExitReason(reader.String(field::kExitReason, Presence::kOptional,
-                                      JsonReader::EmptyString::kAllowed));
-  task.saved = reader.Bool(field::kSaved, Presence::kOptional);
+    task.reason = ParseExitReason(
+        reader.ReadString(field::kExitReason, Presence::kOptional,
+                          JsonReader::EmptyString::kAllowed));
+  task.saved = reader.ReadBool(field::kSaved, Presence::kOptional);
   return reader.Finish(std::move(task));
 }
 
 Json WriteCommand(const Command& command) {
-  Json object = {{field::kTask, TaskName(command.job, command.task)},
+  Json object = {{field::kTask, FormatTaskName(command.job, command.task)},
                  {field::kAttempt, command.attempt}};
   switch (command.kind) {
-    case CommandKind::kStart: object[field::kCommandKind] = word::kStart; break;
+    case CommandKind::kStart:
+      object[field::kCommandKind] = enum_name::kStart;
+      break;
     case CommandKind::kStop:
-      object[field::kCommandKind] = word::kStop;
+      object[field::kCommandKind] = enum_name::kStop;
       object[field::kGraceS] = command.grace_s;
       break;
     case CommandKind::kForget:
-      object[field::kCommandKind] = word::kForget;
+      object[field::kCommandKind] = enum_name::kForget;
       break;
   }
   return object;
@@ -78,20 +84,20 @@
   if (!object) return tl::unexpected(object.error());
   JsonReader reader(*object);
   Heartbeat heartbeat;
-  heartbeat.machine = reader.String(field::kMachine);
-  heartbeat.address = reader.String(field::kAddress, Presence::kOptional);
-  heartbeat.type = reader.String(field::kMachineType);
-  heartbeat.zone = reader.String(field::kZone);
-  heartbeat.spot = reader.Bool(field::kSpot, Presence::kOptional);
-  heartbeat.incarnation = reader.Count(field::kIncarnation);
-  heartbeat.sequence = reader.Count(field::kSequence);
+  heartbeat.machine = reader.ReadString(field::kMachine);
+  heartbeat.address = reader.ReadString(field::kAddress, Presence::kOptional);
+  heartbeat.type = reader.ReadString(field::kMachineType);
+  heartbeat.zone = reader.ReadString(field::kZone);
+  heartbeat.spot = reader.ReadBool(field::kSpot, Presence::kOptional);
+  heartbeat.incarnation = reader.ReadCount(field::kIncarnation);
+  heartbeat.sequence = reader.ReadCount(field::kSequence);
   heartbeat.fencing_token =
-      reader.Count(field::kFencingToken, Presence::kOptional);
+      reader.ReadCount(field::kFencingToken, Presence::kOptional);
   if (reader.Find(field::kPreemptionNoticeS))
     heartbeat.preemption_notice_s =
-        reader.Number(field::kPreemptionNoticeS, kMinPreemptionNoticeS);
+        reader.ReadNumber(field::kPreemptionNoticeS, kMinPreemptionNoticeS);
   if (!reader.ok()) return tl::unexpected(reader.error());
-  if (!reader.Find(field::kTasks)) return heartbeat;  // nothing runs there
+  if (!reader.Find(field::kTasks)) return heartbeat;  // no task attempts
   auto tasks = ReadObjects<TaskStatus>(*object, field::kTasks, ReadTaskStatus);
   if (!tasks) return tl::unexpected(tasks.error());
   heartbeat.tasks = std::move(*tasks);
--- a/src/protocol/worker_codec.h
+++ b/src/protocol/worker_codec.h
@@ -1,6 +1,5 @@
 // Messages between workers and controllers: heartbeats and their responses
-// (POST /agent/beat), and commands that are pushed to a worker (POST
-// /commands).
+// (POST /agent/beat), and commands pushed to a worker (POST /commands).
 #pragma once
 
 #include <string>
@@ -11,16 +10,15 @@
 
 namespace sorrelwood::protocol {
 
-// Returns the heartbeat in `body`: a request's, or the answer's to pushed
-// commands. The error's message is the text of the 400 that the worker gets.
+// Parses a heartbeat: the body of a heartbeat request, or of a worker's answer
+// to pushed commands. The error's message becomes the text of the 400 response.
 ParseResult<Heartbeat> ParseHeartbeat(const std::string& body);
 
-// Returns the body that goes with the response's status: commands with 200, the
-// node to report to with 421 (an empty object if it is not known), an error
-// with any other.
+// Returns the body for the response's status. 200: commands; 421: the leader's
+// node name, or an empty object if it is unknown; any other: an error.
 std::string EncodeHeartbeatResponse(const HeartbeatResponse& response);
 
-// Returns the body of a request to the worker's own address.
+// Returns the body of a request that pushes commands to a worker.
 std::string EncodePushedCommands(const PushedCommands& pushed);
 
 }  // namespace sorrelwood::protocol
--- a/src/server/controller_server.cc
+++ b/src/server/controller_server.cc
@@ -156,7 +156,7 @@
 }
 
 void ControllerServer::Execute(const SendPeerStatus& action) {
-  for (auto& sender : peer_senders_) sender->Post(action.note);
+  for (auto& sender : peer_senders_) sender->Post(action.status);
 }
 
 void ControllerServer::Execute(const LogEvent& event) {
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -78,15 +78,15 @@
 
 void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
   Set("spread_imbalance", statistics.spread.imbalance);
-  Set("moves_under_way", statistics.spread.under_way);
-  Set("moves_begun", statistics.spread.begun);
+  Set("moves_under_way", statistics.spread.in_flight);
+  Set("moves_begun", statistics.spread.started);
   Set("moves_finished", statistics.spread.finished);
   for (const MoveFailure failure :
-       {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kPlaceLost,
-        MoveFailure::kNotNow}) {
-    const auto count = statistics.spread.given_up.find(failure);
+       {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kTargetLost,
+        MoveFailure::kStartNotAllowed}) {
+    const auto count = statistics.spread.abandoned.find(failure);
     gauges_.Add({{"of", "moves_given_up"}, {"why", ToString(failure)}})
-        .Set(count == statistics.spread.given_up.end()
+        .Set(count == statistics.spread.abandoned.end()
                  ? 0
                  : static_cast<double>(count->second));
   }
--- a/src/state/state_client.cc
+++ b/src/state/state_client.cc
@@ -65,7 +65,7 @@
     return result;
   }
   result.revision = transacted->revision;
-  result.failed = std::move(transacted->failed_keys);
+  result.failed_preconditions = std::move(transacted->failed_keys);
   return result;
 }
 
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -68,10 +68,10 @@
   Job* job = Run(busy, 8);
   bounds_.Update(0);
   // 8 of 32 cores are asked for: 4 for each machine, and a quarter more.
-  EXPECT_DOUBLE_EQ(bounds_.OfAll(*busy), 5);
-  EXPECT_DOUBLE_EQ(bounds_.OfTeam("team", *busy), 5);
-  EXPECT_FALSE(bounds_.Allow(*job, *busy));
-  EXPECT_TRUE(bounds_.Allow(*job, *machines_.Find("n-2")));
+  EXPECT_DOUBLE_EQ(bounds_.TotalBound(*busy), 5);
+  EXPECT_DOUBLE_EQ(bounds_.TeamBound("team", *busy), 5);
+  EXPECT_FALSE(bounds_.AllowsTask(*job, *busy));
+  EXPECT_TRUE(bounds_.AllowsTask(*job, *machines_.Find("n-2")));
 }
 
 TEST_F(BoundsTest, PendingWorkLoosensTheBounds) {
@@ -80,8 +80,8 @@
   Job* job = Run(busy, 8);
   job->progress.pending.Add(100, 124);
   bounds_.Update(0);
-  EXPECT_DOUBLE_EQ(bounds_.OfAll(*busy), 20);
-  EXPECT_TRUE(bounds_.Allow(*job, *busy));
+  EXPECT_DOUBLE_EQ(bounds_.TotalBound(*busy), 20);
+  EXPECT_TRUE(bounds_.AllowsTask(*job, *busy));
 }
 
 TEST_F(BoundsTest, OneTaskIsNeverACrowd) {
@@ -192,12 +192,12 @@
   spec.zone = "a";
   sets_.Remove(*machines_.Find("n-1"));
   std::set<Machine*> drawn;
-  for (Machine* machine : sets_.Draw(sets_.AllowedFor(spec), 100, &random_)) {
+  for (Machine* machine : sets_.Sample(sets_.AllowedFor(spec), 100, &random_)) {
     EXPECT_EQ(machine->zone, "a");
     EXPECT_TRUE(drawn.insert(machine).second);
   }
   EXPECT_EQ(drawn.size(), 19u);
-  EXPECT_EQ(sets_.Draw(sets_.AllowedFor(spec), 4, &random_).size(), 4u);
+  EXPECT_EQ(sets_.Sample(sets_.AllowedFor(spec), 4, &random_).size(), 4u);
 }
 
 TEST(ImageAffinity, ChangesLittleWhenAMachineGoes) {
@@ -205,8 +205,8 @@
     int best = -1;
     for (int i = 0; i < 50; ++i) {
       if (i == without) continue;
-      if (best < 0 || ImageAffinity(image, "n-" + std::to_string(i)) <
-                          ImageAffinity(image, "n-" + std::to_string(best)))
+      if (best < 0 || ImageAffinityRank(image, "n-" + std::to_string(i)) <
+                          ImageAffinityRank(image, "n-" + std::to_string(best)))
         best = i;
     }
     return best;
@@ -230,14 +230,14 @@
   MoveBudget budget(spread);
   for (int i = 0; i < 2; ++i) {
     ASSERT_TRUE(budget.Allows("blue", "job-1", 10));
-    budget.Spend("blue", "job-1", 10);
+    budget.RecordMove("blue", "job-1", 10);
   }
   EXPECT_FALSE(budget.Allows("blue", "job-1", 11));
   ASSERT_TRUE(budget.Allows("blue", "job-2", 11));
-  budget.Spend("blue", "job-2", 11);
+  budget.RecordMove("blue", "job-2", 11);
   EXPECT_FALSE(budget.Allows("blue", "job-3", 12));
   ASSERT_TRUE(budget.Allows("green", "job-4", 12));
-  budget.Spend("green", "job-4", 12);
+  budget.RecordMove("green", "job-4", 12);
   EXPECT_FALSE(budget.Allows("green", "job-5", 13));
   EXPECT_TRUE(budget.Allows("blue", "job-1", 70.5));
 }
@@ -246,8 +246,8 @@
   SpeedTracker speeds;
   for (int round = 0; round < 6; ++round) {
     for (int i = 0; i < 8; ++i)
-      speeds.Learn("job-1", "n-" + std::to_string(i), 10 + 0.1 * i);
-    speeds.Learn("job-1", "slow", 25);
+      speeds.LearnRunTime("job-1", "n-" + std::to_string(i), 10 + 0.1 * i);
+    speeds.LearnRunTime("job-1", "slow", 25);
   }
   EXPECT_TRUE(speeds.IsSlow("slow"));
   for (int i = 0; i < 8; ++i)
--- a/tests/digest_measurement.cc
+++ b/tests/digest_measurement.cc
@@ -107,8 +107,9 @@
            std::move(options), kSeedsWithRebalancing, runs);
 }
 
-// Moves depend on the order of addresses in memory (ImbalanceMeter::Place), so
-// that runs with them don't repeat themselves; they are played only on request.
+// Moves depend on the order of addresses in memory
+// (ImbalanceMeter::MachineGroup), so that runs with them don't repeat
+// themselves; they are played only on request.
 std::vector<DigestRun> AllRuns(bool with_moves) {
   std::vector<std::pair<std::string, SimulationOptions>> scenarios =
       OtherScenarios();
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -612,8 +612,8 @@
   writer.Put(keys::Machine("n-1"), "{}", {nullptr, nullptr, /*urgent=*/true});
   context.now = 10;
   writer.Tick();
-  ASSERT_FALSE(context.out.empty());
-  const auto* sent = std::get_if<StateTransaction>(&context.out.front());
+  ASSERT_FALSE(context.actions.empty());
+  const auto* sent = std::get_if<StateTransaction>(&context.actions.front());
   ASSERT_NE(sent, nullptr);
   EXPECT_EQ(sent->mutations.front().key, keys::Machine("n-1"));
 }
@@ -891,7 +891,7 @@
     for (; writer.MayCommitJobEnd(); ++ends)
       writer.CommitJobEnd({}, {{true, "a", "", 0}, {true, "b", "", 0}},
                           [](const StateResult&) {});
-    for (const Action& action : std::exchange(context.out, {})) {
+    for (const Action& action : std::exchange(context.actions, {})) {
       const auto* sent = std::get_if<StateTransaction>(&action);
       if (!sent) continue;
       if (sent->mutations.front().key != "a")
--- a/tests/load_spread_test.cc
+++ b/tests/load_spread_test.cc
@@ -112,7 +112,7 @@
   job.spec.memory_gb = 1;
   job.spec.spot = true;
   job.spec.estimate_s = 2000;
-  job.spec.checkpoint_s = 10;
+  job.spec.checkpoint_interval_s = 10;
   job.spec.save_s = 1;
   return job;
 }
@@ -167,18 +167,18 @@
   }
   // Until the leader has decided to move something, not yet told to anybody.
   void RunUntilBegun() {
-    for (int i = 0; i < 400 && Moves().begun == 0; ++i) {
+    for (int i = 0; i < 400 && Moves().started == 0; ++i) {
       leader_.Run(0.1);
-      if (i % 20 != 19 || Moves().begun > 0) continue;
+      if (i % 20 != 19 || Moves().started > 0) continue;
       for (auto& worker : workers_) worker->Beat(&leader_);
     }
-    ASSERT_GT(Moves().begun, 0u);
+    ASSERT_GT(Moves().started, 0u);
   }
   Rebalancer::Statistics Moves() {
     return leader_.CollectStatistics().scheduler.spread;
   }
   uint64_t GivenUp(MoveFailure failure) {
-    const auto given_up = Moves().given_up;
+    const auto given_up = Moves().abandoned;
     const auto it = given_up.find(failure);
     return it == given_up.end() ? 0 : it->second;
   }
@@ -197,22 +197,22 @@
   EXPECT_GE(second_->Running(), 7u);
   EXPECT_EQ(first_->Running() + second_->Running(), 20u);
   EXPECT_GE(Moves().finished, 3u);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
   EXPECT_LT(Moves().imbalance, 0.05);
 }
 
 TEST_F(LoadSpreadTest, NothingMovesThatHasRunForAShortTime) {
   MakeUneven();
   Run(14);
-  EXPECT_EQ(Moves().begun, 0u);
+  EXPECT_EQ(Moves().started, 0u);
 }
 
 TEST_F(LoadSpreadTest, NothingMovesThatWouldLoseItsWork) {
   LiveJob job = LongJob("job-000001", 20);
-  job.spec.checkpoint_s = 0;
+  job.spec.checkpoint_interval_s = 0;
   MakeUneven(std::move(job));
   Run(80);
-  EXPECT_EQ(Moves().begun, 0u);
+  EXPECT_EQ(Moves().started, 0u);
   EXPECT_EQ(first_->Running(), 16u);
 }
 
@@ -220,7 +220,7 @@
   MakeUneven();
   RunUntilStopped(first_);
   // The stop is not reported yet: other work finds all but the held places.
-  const size_t held = Moves().under_way;
+  const size_t held = Moves().in_flight;
   ASSERT_GT(held, 0u);
   leader_.AddJob("job-000002", 40);
   leader_.Run(0.5);
@@ -228,7 +228,7 @@
   EXPECT_EQ(second_->Running("job-000002"), 12 - held);
   Run(6);
   EXPECT_EQ(Moves().finished, held);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
 }
 
 TEST_F(LoadSpreadTest, APlaceThatIsLostIsGivenUp) {
@@ -238,8 +238,8 @@
   second_->Beat(&leader_);
   leader_.preemption_notice_s.reset();
   Run(4);
-  EXPECT_GT(GivenUp(MoveFailure::kPlaceLost), 0u);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_GT(GivenUp(MoveFailure::kTargetLost), 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
   EXPECT_EQ(first_->Running(), 16u);  // they start again where room is
 }
 
@@ -250,7 +250,7 @@
   for (int i = 0; i < 5; ++i) leader_.Run(2);  // nobody reports
   Run(4);
   EXPECT_EQ(Moves().finished, 0u);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
   EXPECT_EQ(first_->Running(), 16u);
 }
 
@@ -261,7 +261,7 @@
   first_->hangs = true;  // the stop has left, or waits for a report
   Run(8);
   EXPECT_GT(GivenUp(MoveFailure::kTooLate), 0u);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
   EXPECT_EQ(second_->Running(), 4u);  // nothing started there meanwhile
   first_->hangs = false;              // within its lease
   first_->Beat(&leader_);
@@ -278,7 +278,7 @@
   EXPECT_GT(GivenUp(MoveFailure::kJobEnded), 0u);
   Run(6);
   EXPECT_EQ(first_->Running() + second_->Running(), 0u);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
 }
 
 TEST_F(LoadSpreadTest, ATaskThatIsDoneBeforeItStopsDoesNotMove) {
@@ -287,7 +287,7 @@
   for (uint32_t task = 0; task < 20; ++task) first_->Finish("job-000001", task);
   Run(6);
   EXPECT_EQ(Moves().finished, 0u);
-  EXPECT_EQ(Moves().under_way, 0u);
+  EXPECT_EQ(Moves().in_flight, 0u);
   EXPECT_EQ(second_->Running(), 4u);
 }
 
@@ -312,7 +312,7 @@
     first_->RepeatOldReport(&leader_, crowded, sequence);
     Run(2);
   }
-  EXPECT_EQ(Moves().begun, before.begun);
+  EXPECT_EQ(Moves().started, before.started);
   EXPECT_EQ(first_->Running() + second_->Running(), 20u);
 }
 
@@ -369,7 +369,7 @@
   Run(80);
   EXPECT_EQ(first_->Running("job-000001"), 16u);
   EXPECT_EQ(second_->Running("job-000001"), 0u);
-  EXPECT_EQ(Moves().begun, 0u);
+  EXPECT_EQ(Moves().started, 0u);
 }
 
 TEST_F(LoadSpreadTest, KeepsAJobOfOneZoneTogether) {
@@ -405,7 +405,7 @@
 TEST_F(LoadSpreadTest, TwoTeamsThatAreHotInTurnCauseNoMovesToAndFro) {
   MakeUneven();
   Run(60);
-  const uint64_t settled = Moves().begun;
+  const uint64_t settled = Moves().started;
   for (int round = 0; round < 6; ++round) {
     const std::string id = "job-0001" + std::to_string(10 + round);
     leader_.Add(LongJob(id, 6, round % 2 ? "team" : "other"));
@@ -413,7 +413,7 @@
     leader_.Cancel(id);
     Run(6);
   }
-  EXPECT_LE(Moves().begun - settled, 6u);
+  EXPECT_LE(Moves().started - settled, 6u);
 }
 
 // Unevenness that ends sooner than `lasting_s` moves nothing.
@@ -431,10 +431,10 @@
   MakeUneven();
   Run(44);  // by now all tasks may move
   ASSERT_GT(Moves().imbalance, 0.05);
-  EXPECT_EQ(Moves().begun, 0u);
+  EXPECT_EQ(Moves().started, 0u);
   leader_.Add(LongJob("job-000002", 12));  // fills the second machine
   Run(60);
-  EXPECT_EQ(Moves().begun, 0u);
+  EXPECT_EQ(Moves().started, 0u);
 }
 
 TEST_F(PatientSpreadTest, LastingUnevennessDoes) {
@@ -449,11 +449,11 @@
     workers.push_back(AddWorker("n-" + std::to_string(i)));
   Run(6);
   LiveJob filler = LongJob("job-000003", 36);  // keeps all four machines
-  filler.spec.checkpoint_s = 0;
+  filler.spec.checkpoint_interval_s = 0;
   leader_.Add(filler);
   Run(4);
   LiveJob probes = LongJob("job-000001", 24);
-  probes.spec.checkpoint_s = 0;
+  probes.spec.checkpoint_interval_s = 0;
   leader_.Add(probes);
   Run(4);
   std::map<std::pair<std::string, uint32_t>, double> began;
--- a/tests/protocol_test.cc
+++ b/tests/protocol_test.cc
@@ -155,7 +155,7 @@
   EXPECT_EQ(job->spec.id, spec->id);
   EXPECT_EQ(job->spec.image, "img-07");
   EXPECT_EQ(job->spec.priority, Priority::kHigh);
-  EXPECT_DOUBLE_EQ(job->spec.checkpoint_s, 30);
+  EXPECT_DOUBLE_EQ(job->spec.checkpoint_interval_s, 30);
   EXPECT_DOUBLE_EQ(job->submitted_wall_s, 1234.5);
 }
 
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -68,7 +68,7 @@
     job.spec.spot = true;
     job.spec.estimate_s = 30;
     if (team == "guests") {
-      job.spec.checkpoint_s = 10;
+      job.spec.checkpoint_interval_s = 10;
       job.spec.save_s = 1;
     }
     job.submitted_wall_s = 1e6 + now_;
@@ -263,7 +263,7 @@
         continue;
       StateResult result = Ok(t.id);
       result.outcome = Outcome::kConflict;
-      result.failed = {guard.key};
+      result.failed_preconditions = {guard.key};
       Give(result);
       return;
     }
@@ -337,7 +337,7 @@
     CloudResult result;
     result.id = rent.id;
     result.outcome = Outcome::kOk;
-    for (int i = 0; i < rent.rent.count && !to_rent.empty(); ++i) {
+    for (int i = 0; i < rent.record.count && !to_rent.empty(); ++i) {
       result.machines.push_back(to_rent.front());
       to_rent.pop_front();
     }
--- a/tests/simulation/action_digest.cc
+++ b/tests/simulation/action_digest.cc
@@ -58,7 +58,7 @@
 void ActionDigest::Take(const FetchCatalog& action) { Count(action.id); }
 void ActionDigest::Take(const ProvisionMachines& action) {
   Count(action.id);
-  Text(protocol::EncodeProvisioningRecord(action.rent));
+  Text(protocol::EncodeProvisioningRecord(action.record));
   Number(action.not_after);
 }
 void ActionDigest::Take(const ReleaseMachines& action) {
@@ -84,7 +84,7 @@
   Text(protocol::EncodeHeartbeatResponse(action));
 }
 void ActionDigest::Take(const SendPeerStatus& action) {
-  Text(EncodePeerStatus(action.note));
+  Text(EncodePeerStatus(action.status));
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/action_dispatcher.cc
+++ b/tests/simulation/action_dispatcher.cc
@@ -105,7 +105,7 @@
     if (!PeersConnected(controller, peer)) continue;
     const ProcessId receiver = controllers.Current(peer);
     cluster_.events().After(
-        cluster_.NetworkLatency(), [this, receiver, note = status.note] {
+        cluster_.NetworkLatency(), [this, receiver, note = status.status] {
           cluster_.controllers().Deliver(
               receiver, [note](Controller& c, Controller::Time time) {
                 return c.OnPeerStatus(time, note);
--- a/tests/simulation/cloud.cc
+++ b/tests/simulation/cloud.cc
@@ -44,7 +44,7 @@
 
 CloudResult SimulatedCloud::Serve(const ProvisionMachines& request) {
   CloudResult result;
-  const ProvisioningRecord& provisioning = request.rent;
+  const ProvisioningRecord& provisioning = request.record;
   const auto known = provisioned_.find(provisioning.name);
   if (known == provisioned_.end())
     CheckProvisioningIsRecorded(cluster_, provisioning.name);
--- a/tests/simulation/state_service.cc
+++ b/tests/simulation/state_service.cc
@@ -58,13 +58,13 @@
     const uint64_t version =
         entry == entries_.end() ? 0 : entry->second.version;
     if (version != precondition.version)
-      result.failed.push_back(precondition.key);
+      result.failed_preconditions.push_back(precondition.key);
   }
   if (NamesUnknownLease(request)) {
     result.outcome = Outcome::kRefused;
     return result;
   }
-  if (!result.failed.empty()) {
+  if (!result.failed_preconditions.empty()) {
     result.outcome = Outcome::kConflict;
     result.revision = revision_;
     return result;
--- a/tests/simulation/statistics.cc
+++ b/tests/simulation/statistics.cc
@@ -24,7 +24,7 @@
 
 void SimulationStatistics::AddRebalancing(
     double now_s, const Rebalancer::Statistics& measured, double margin) {
-  moves_begun += Increase(measured.begun, last_rebalancing_.begun);
+  moves_begun += Increase(measured.started, last_rebalancing_.started);
   moves_finished += Increase(measured.finished, last_rebalancing_.finished);
   last_rebalancing_ = measured;
   imbalance_by_second[static_cast<int>(now_s)] = measured.imbalance;
--- a/tests/simulation/task_execution.cc
+++ b/tests/simulation/task_execution.cc
@@ -42,7 +42,7 @@
 ExitReason TaskExecution::ReasonToRefuse(const Worker& worker,
                                          const Command& command) const {
   const ClientJob* job = cluster_.clients().Find(command.job);
-  if (!job || command.task >= job->spec.tasks) return ExitReason::kUnknown;
+  if (!job || command.task >= job->spec.tasks) return ExitReason::kUnknownJob;
   double cpus = job->spec.cpus;
   double memory_gb = job->spec.memory_gb;
   for (const auto& [id, task] : worker.tasks) {
@@ -53,7 +53,7 @@
   }
   const MachineType& type = cluster_.machine_type(worker.type);
   if (cpus > type.cpus + kRounding || memory_gb > type.memory_gb + kRounding)
-    return ExitReason::kNoRoom;
+    return ExitReason::kInsufficientResources;
   return ExitReason::kNone;
 }
 
@@ -87,7 +87,7 @@
   if (!task.HoldsResources()) return;
   const JobSpec& spec = cluster_.clients().Get(task.id.job).spec;
   const bool saves = task.state == TaskState::kRunning &&
-                     spec.checkpoint_s > 0 && grace_s >= spec.save_s;
+                     spec.checkpoint_interval_s > 0 && grace_s >= spec.save_s;
   if (!saves) {
     // A task that is saving is left to it, unless it is stopped at once.
     if (task.state != TaskState::kSaving || grace_s == 0)
--- a/tests/simulation/workload.cc
+++ b/tests/simulation/workload.cc
@@ -66,7 +66,7 @@
                                       : 20 + 20 * random_.Uniform());
   spec.estimate_s = run_s * (0.5 + random_.Uniform());
   if (random_.Chance(options_.checkpoint_share)) {
-    spec.checkpoint_s = 10;
+    spec.checkpoint_interval_s = 10;
     spec.save_s = 1;
   }
   const double at_s =
@@ -179,7 +179,7 @@
     spec.image = "img-burst-" + std::to_string(i % 3);
     spec.image_gb = 1;
     spec.spot = true;
-    spec.checkpoint_s = 10;
+    spec.checkpoint_interval_s = 10;
     spec.save_s = 1;
     spec.estimate_s = 60 + 120 * random_.Uniform();
     clients_.AddJob(
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -85,7 +85,7 @@
       context_.now = now_;
       if (between) between();
       writer_.Tick();
-      for (const Action& action : std::exchange(context_.out, {}))
+      for (const Action& action : std::exchange(context_.actions, {}))
         if (const auto* sent = std::get_if<StateTransaction>(&action))
           Serve(*sent);
     }
@@ -251,7 +251,7 @@
     job_api_.Submit(++request_, spec);
     int status = 0;
     for (int round = 0; round < 5; ++round) {
-      for (const Action& action : std::exchange(context_.out, {})) {
+      for (const Action& action : std::exchange(context_.actions, {})) {
         if (const auto* answer = std::get_if<ClientResponse>(&action))
           status = answer->status;
         StateResult result;
