--- a/src/core/api/quorum_reads.cc
+++ b/src/core/api/quorum_reads.cc
@@ -78,8 +78,8 @@
 
 void QuorumReads::OnBatchResult(const std::vector<PendingPoll>& polls,
                                 const StateResult& result) {
-  const std::set<std::string> failed_keys(result.failed.begin(),
-                                          result.failed.end());
+  const std::set<std::string> failed_keys(result.failed_preconditions.begin(),
+                                          result.failed_preconditions.end());
   const bool has_conflict = result.outcome == Outcome::kConflict;
   // Requests by the id of a job that has ended.
   std::map<std::string, std::vector<uint64_t>> ended_jobs;
--- a/src/core/autoscaling/premium_scale_out.cc
+++ b/src/core/autoscaling/premium_scale_out.cc
@@ -34,7 +34,7 @@
 double PremiumScaleOut::ComputeAllowedTimeS(const Job& job,
                                             double longest_boot_s) const {
   const double slack_s = jobs_->ComputeSlack(job, settings_->objectives,
-                                             context_->wall, window_s_);
+                                             context_->wall_time, window_s_);
   // A deadline that has passed, or that comes before a new machine could be up
   // and do the work, does not justify a premium.
   return slack_s < kPremiumMinBootTimes * longest_boot_s ? window_s_ : slack_s;
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -60,7 +60,7 @@
   // See NodeHealth.
   bool IsHealthy() const { return node_health_.IsHealthy(); }
   // How many machines and jobs were examined while handling the last input.
-  uint64_t items_examined() const { return context_.work; }
+  uint64_t items_examined() const { return context_.items_examined; }
   void set_debug(bool debug) { context_.debug = debug; }
 
  private:
--- a/src/core/controller/failover_recovery.cc
+++ b/src/core/controller/failover_recovery.cc
@@ -27,14 +27,15 @@
 }
 
 void FailoverRecovery::ReadRecords(const std::string& prefix, Step next_step) {
-  context_->List(prefix, [this, next_step = std::move(next_step),
-                          generation = generation_](const StateResult& result) {
-    if (generation != generation_) return;
-    if (result.outcome == Outcome::kOk)
-      next_step(result);
-    else
-      OnReadFailed();
-  });
+  context_->ListKeys(prefix,
+                     [this, next_step = std::move(next_step),
+                      generation = generation_](const StateResult& result) {
+                       if (generation != generation_) return;
+                       if (result.outcome == Outcome::kOk)
+                         next_step(result);
+                       else
+                         OnReadFailed();
+                     });
 }
 
 void FailoverRecovery::OnReadFailed() {
--- a/src/core/controller/node_health.cc
+++ b/src/core/controller/node_health.cc
@@ -8,7 +8,7 @@
 namespace sorrelwood {
 
 bool NodeHealth::IsHealthy() const {
-  const double unserved_since = context_->unserved_since();
+  const double unserved_since = context_->state_unserved_since();
   if (unserved_since == 0) return true;
   // Peers that were served clearly later (by kCutOffThresholdS) show that only
   // this node is affected, not that the service is down.
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -25,62 +25,62 @@
 void JobCache::LoadListing() {
   request_in_flight_ = true;
   const double sent_at = context_->now;
-  context_->List(keys::kLivePrefix, [this, sent_at](const StateResult& result) {
-    if (result.outcome != Outcome::kOk) {
-      request_in_flight_ = false;
-      retry_at_ = context_->now + kLoadRetryS;
-      return;
-    }
-    ApplyListing(result);
-    // A watch from the listing's revision reports every later change. The
-    // leader key lies outside the listing and is read after it, so a change of
-    // it is not missed either.
-    const uint64_t revision = result.revision;
-    context_->Get(
-        StateConnection::kLeader, keys::kLeader,
-        [this, sent_at, revision](const StateResult& leader_result) {
+  context_->ListKeys(
+      keys::kLivePrefix, [this, sent_at](const StateResult& result) {
+        if (result.outcome != Outcome::kOk) {
           request_in_flight_ = false;
-          if (leader_result.outcome == Outcome::kOk &&
-              !leader_result.items.empty()) {
-            const KeyValue& item = leader_result.items[0];
-            if (const auto leader = protocol::ParseLeaderRecord(item.value))
-              ApplyLeader(item.version, *leader, item.version);
-          } else if (leader_result.outcome == Outcome::kConflict) {
-            ApplyLeader(0, LeaderRecord(), revision);
-          } else {
-            retry_at_ = context_->now + kLoadRetryS;
-            return;
-          }
-          revision_ = revision;
-          loaded_ = true;
-          synced_at_ = std::max(synced_at_, sent_at);
-          SendWatch();
-        });
-  });
+          retry_at_ = context_->now + kLoadRetryS;
+          return;
+        }
+        ApplyListing(result);
+        // A watch from the listing's revision reports every later change. The
+        // leader key lies outside the listing and is read after it, so a change
+        // of it is not missed either.
+        const uint64_t revision = result.revision;
+        context_->GetKey(
+            StateConnection::kLeader, keys::kLeader,
+            [this, sent_at, revision](const StateResult& leader_result) {
+              request_in_flight_ = false;
+              if (leader_result.outcome == Outcome::kOk &&
+                  !leader_result.items.empty()) {
+                const KeyValue& item = leader_result.items[0];
+                if (const auto leader = protocol::ParseLeaderRecord(item.value))
+                  ApplyLeader(item.version, *leader, item.version);
+              } else if (leader_result.outcome == Outcome::kConflict) {
+                ApplyLeader(0, LeaderRecord(), revision);
+              } else {
+                retry_at_ = context_->now + kLoadRetryS;
+                return;
+              }
+              revision_ = revision;
+              loaded_ = true;
+              synced_at_ = std::max(synced_at_, sent_at);
+              SendWatch();
+            });
+      });
 }
 
 void JobCache::SendWatch() {
   request_in_flight_ = true;
   const double sent_at = context_->now;
   next_watch_at_ = sent_at + min_watch_interval_s_;
-  context_->Watch(keys::kWatchedPrefix, revision_,
-                  [this, sent_at](const StateResult& result) {
-                    request_in_flight_ = false;
-                    if (result.outcome != Outcome::kOk) {
-                      retry_at_ = context_->now + kWatchRetryS;
-                      return;
-                    }
-                    if (result.too_old) {
-                      loaded_ = false;
-                      return;
-                    }
-                    for (const KeyValue& change : result.items)
-                      ApplyChange(change);
-                    revision_ = std::max(revision_, result.revision);
-                    synced_at_ = std::max(synced_at_, sent_at);
-                    if (!request_in_flight_ && context_->now >= next_watch_at_)
-                      SendWatch();
-                  });
+  context_->WatchKeys(
+      keys::kWatchedPrefix, revision_,
+      [this, sent_at](const StateResult& result) {
+        request_in_flight_ = false;
+        if (result.outcome != Outcome::kOk) {
+          retry_at_ = context_->now + kWatchRetryS;
+          return;
+        }
+        if (result.too_old) {
+          loaded_ = false;
+          return;
+        }
+        for (const KeyValue& change : result.items) ApplyChange(change);
+        revision_ = std::max(revision_, result.revision);
+        synced_at_ = std::max(synced_at_, sent_at);
+        if (!request_in_flight_ && context_->now >= next_watch_at_) SendWatch();
+      });
 }
 
 void JobCache::ApplyChange(const KeyValue& change) {
@@ -160,14 +160,14 @@
   // final key says whether they are done or cancelled.
   for (const auto& [id, cached] : live_jobs_) {
     if (listed_jobs.count(id) || cached.version > listing.revision) continue;
-    context_->Get(StateConnection::kLeader, keys::ForFinalState(id),
-                  [this, id = id](const StateResult& result) {
-                    if (result.outcome != Outcome::kOk || result.items.empty())
-                      return;
-                    if (const auto state =
-                            protocol::ParseFinalState(result.items[0].value))
-                      ApplyFinalState(id, *state);
-                  });
+    context_->GetKey(
+        StateConnection::kLeader, keys::ForFinalState(id),
+        [this, id = id](const StateResult& result) {
+          if (result.outcome != Outcome::kOk || result.items.empty()) return;
+          if (const auto state =
+                  protocol::ParseFinalState(result.items[0].value))
+            ApplyFinalState(id, *state);
+        });
   }
 }
 
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -132,7 +132,7 @@
 }
 
 void LeaderElection::AcquireLeaderKey(uint64_t lease, double lease_sent_at) {
-  context_->Get(
+  context_->GetKey(
       StateConnection::kLeaseRenewal, keys::kTerm,
       [this, lease, lease_sent_at](const StateResult& term_result) {
         uint64_t term = 0, term_version = 0;
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -50,19 +50,20 @@
                            std::vector<Mutation> mutations,
                            StateCallback done) {
   preconditions.push_back(election_->leader_precondition());
-  context_->Transact(StateConnection::kLeader, std::move(preconditions),
-                     std::move(mutations),
-                     [this, done = std::move(done),
-                      generation = generation_](const StateResult& result) {
-                       if (generation != generation_) return;
-                       if (result.outcome == Outcome::kConflict &&
-                           std::find(result.failed.begin(), result.failed.end(),
-                                     keys::kLeader) != result.failed.end()) {
-                         election_->StepDown("a write found another leader");
-                         return;
-                       }
-                       done(result);
-                     });
+  context_->Transact(
+      StateConnection::kLeader, std::move(preconditions), std::move(mutations),
+      [this, done = std::move(done),
+       generation = generation_](const StateResult& result) {
+        if (generation != generation_) return;
+        if (result.outcome == Outcome::kConflict &&
+            std::find(result.failed_preconditions.begin(),
+                      result.failed_preconditions.end(),
+                      keys::kLeader) != result.failed_preconditions.end()) {
+          election_->StepDown("a write found another leader");
+          return;
+        }
+        done(result);
+      });
 }
 
 void StateWriter::Tick() {
@@ -170,7 +171,7 @@
 }
 
 void StateWriter::ReadVersion(const std::string& key) {
-  context_->Get(
+  context_->GetKey(
       StateConnection::kLeader, key,
       [this, key, generation = generation_](const StateResult& result) {
         if (generation != generation_) return;
--- a/src/core/scheduling/headroom.cc
+++ b/src/core/scheduling/headroom.cc
@@ -28,15 +28,15 @@
   if (arrivals.empty()) return 0;
   const auto [first, last] =
       std::minmax_element(arrivals.begin(), arrivals.end());
-  if (context_->wall - *last > kHeadroomRetentionS) return 0;
+  if (context_->wall_time - *last > kHeadroomRetentionS) return 0;
   const auto recent =
       std::count_if(arrivals.begin(), arrivals.end(), [&](double arrived_at) {
-        return context_->wall - arrived_at < kArrivalWindowS;
+        return context_->wall_time - arrived_at < kArrivalWindowS;
       });
   // The window starts at the oldest known arrival, so that the rate of a new
   // class isn't underestimated.
-  const double span_s =
-      std::clamp(context_->wall - *first, kMinArrivalSpanS, kArrivalWindowS);
+  const double span_s = std::clamp(context_->wall_time - *first,
+                                   kMinArrivalSpanS, kArrivalWindowS);
   const double jobs_per_boot =
       static_cast<double>(recent) * ShortestBootS() / span_s;
   const double slots =
--- a/src/core/scheduling/pass_selection.cc
+++ b/src/core/scheduling/pass_selection.cc
@@ -19,7 +19,7 @@
   std::map<std::string_view, size_t> selected_by_team;
   size_t complete_teams = 0;
   for (Job* job : jobs->queue()) {
-    ++context->work;
+    ++context->items_examined;
     size_t& selected_of_team = selected_by_team[job->spec().team];
     if (selected.size() >= kJobsPerPass &&
         selected_of_team >= kMinJobsPerTeamPerPass)
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -57,7 +57,7 @@
   const JobSpec& spec = attempt.record->spec;
   const double ran_s =
       attempt.running_since > 0 ? context_->now - attempt.running_since : 0;
-  return spec.cpus * (spec.checkpoint_s > 0 ? spec.save_s : ran_s);
+  return spec.cpus * (spec.checkpoint_interval_s > 0 ? spec.save_s : ran_s);
 }
 
 uint32_t Preemption::MakeRoomUnderQuota(const Job& job, uint32_t pending) {
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -88,7 +88,7 @@
           predictor_.Predict(ToVector(ObserveCluster(job->spec().cpus)));
       attempt.stop = true;
       attempt.stop_grace_s =
-          job->spec().checkpoint_s > 0 ? job->spec().save_s : 0;
+          job->spec().checkpoint_interval_s > 0 ? job->spec().save_s : 0;
       attempt.requeue_for_baseline =
           !predicted_wait_s || *predicted_wait_s < policy_.wait_limit_s;
       attempt.requeue_on_rented = !attempt.requeue_for_baseline;
--- a/src/core/workers/attempt_tracker.cc
+++ b/src/core/workers/attempt_tracker.cc
@@ -65,7 +65,7 @@
     return;
   }
   jobs_->MarkUnplaced(job, id.task, machine->zone);
-  rebalancer_->Released(job, id.task, election_->term());
+  rebalancer_->OnTaskReleased(job, id.task, election_->term());
 }
 
 void AttemptTracker::RemovePlanned(Machine* machine) {
--- a/src/core/workers/preemption_notices.cc
+++ b/src/core/workers/preemption_notices.cc
@@ -18,7 +18,8 @@
     if (!job || job->spec().IsService()) continue;
     if (LikelyEndsWithin(*job, attempt, remaining_s)) continue;
     const JobSpec& spec = job->spec();
-    const bool can_save = spec.checkpoint_s > 0 && spec.save_s < remaining_s;
+    const bool can_save =
+        spec.checkpoint_interval_s > 0 && spec.save_s < remaining_s;
     attempt.stop = true;
     attempt.stop_grace_s = can_save ? spec.save_s : 0;
   }
--- a/src/core/workers/task_outcomes.cc
+++ b/src/core/workers/task_outcomes.cc
@@ -25,7 +25,7 @@
   // Must precede the removal of the attempt: otherwise a task that completes
   // while the rebalancer moves it would be started on the target machine.
   if (task.reason == ExitReason::kDone && job && !is_service)
-    rebalancer_->TaskDone(task.job, task.task);
+    rebalancer_->OnTaskDone(task.job, task.task);
   if (ended.was_tracked)
     attempts_->Remove(machine, machine->attempts.find({task.job, task.task}));
   if (ended.was_tracked && is_service && !ended.stop_requested &&
@@ -41,12 +41,12 @@
         failures_->OnTaskFailed(machine, job, task.task);
       return;
     }
-    case ExitReason::kNoRoom:
-    case ExitReason::kBusy:
+    case ExitReason::kInsufficientResources:
+    case ExitReason::kOtherAttemptPresent:
       if (ended.was_tracked)
         machine->health.refused_until = context_->now + kRefusedStartPauseS;
       return;
-    case ExitReason::kUnknown:
+    case ExitReason::kUnknownJob:
       if (ended.was_tracked && job)
         job->failures.retry_at = context_->now + kJobRetryPauseS;
       return;
@@ -64,7 +64,7 @@
   if (job->spec().IsService()) return;
   // A task with checkpoints may have resumed from one, so its run time is not a
   // valid sample.
-  if (ran_s > 0 && job->spec().checkpoint_s == 0) {
+  if (ran_s > 0 && job->spec().checkpoint_interval_s == 0) {
     jobs_->LearnRunTime(job->spec(), ran_s);
     rebalancer_->LearnRunTime(job->id(), machine->name, ran_s);
   }
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -78,15 +78,15 @@
 
 void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
   Set("spread_imbalance", statistics.rebalancing.imbalance);
-  Set("moves_under_way", statistics.rebalancing.under_way);
-  Set("moves_begun", statistics.rebalancing.begun);
+  Set("moves_under_way", statistics.rebalancing.in_flight);
+  Set("moves_begun", statistics.rebalancing.started);
   Set("moves_finished", statistics.rebalancing.finished);
   for (const MoveFailure failure :
-       {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kPlaceLost,
-        MoveFailure::kNotNow}) {
-    const auto count = statistics.rebalancing.given_up.find(failure);
+       {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kTargetLost,
+        MoveFailure::kStartNotAllowed}) {
+    const auto count = statistics.rebalancing.abandoned.find(failure);
     gauges_.Add({{"of", "moves_given_up"}, {"why", ToString(failure)}})
-        .Set(count == statistics.rebalancing.given_up.end()
+        .Set(count == statistics.rebalancing.abandoned.end()
                  ? 0
                  : static_cast<double>(count->second));
   }
--- a/tests/leader_test.cc
+++ b/tests/leader_test.cc
@@ -613,8 +613,8 @@
              {nullptr, nullptr, /*urgent=*/true});
   context.now = 10;
   writer.Tick();
-  ASSERT_FALSE(context.out.empty());
-  const auto* sent = std::get_if<StateTransaction>(&context.out.front());
+  ASSERT_FALSE(context.actions.empty());
+  const auto* sent = std::get_if<StateTransaction>(&context.actions.front());
   ASSERT_NE(sent, nullptr);
   EXPECT_EQ(sent->mutations.front().key, keys::ForMachine("n-1"));
 }
@@ -892,7 +892,7 @@
     for (; writer.MayCommitJobEnd(); ++ends)
       writer.CommitJobEnd({}, {{true, "a", "", 0}, {true, "b", "", 0}},
                           [](const StateResult&) {});
-    for (const Action& action : std::exchange(context.out, {})) {
+    for (const Action& action : std::exchange(context.actions, {})) {
       const auto* sent = std::get_if<StateTransaction>(&action);
       if (!sent) continue;
       if (sent->mutations.front().key != "a")
