--- a/src/core/api/job_api.cc
+++ b/src/core/api/job_api.cc
@@ -69,7 +69,7 @@
   context_->Transact(
       StateConnection::kUser,
       {{keys::ForLiveJob(id), 0}, {keys::ForFinalState(id), 0}},
-      {{false, keys::ForLiveJob(id), std::move(record), 0}},
+      {{/*remove=*/false, keys::ForLiveJob(id), std::move(record), 0}},
       [this, request, job = std::move(job)](const StateResult& result) {
         OnSubmissionRecorded(request, job, result);
       });
@@ -200,8 +200,8 @@
   const uint64_t version = job_cache_->FindLiveJob(id)->version;
   context_->Transact(
       StateConnection::kUser, {{keys::ForLiveJob(id), version}},
-      {{true, keys::ForLiveJob(id), "", 0},
-       {false, keys::ForFinalState(id),
+      {{/*remove=*/true, keys::ForLiveJob(id), "", 0},
+       {/*remove=*/false, keys::ForFinalState(id),
         protocol::EncodeFinalState(FinalState::kCancelled), 0}},
       [this, request, id](const StateResult& result) {
         if (result.outcome == Outcome::kOk) {
--- a/src/core/api/job_lookup.cc
+++ b/src/core/api/job_lookup.cc
@@ -17,7 +17,7 @@
           const KeyValue& item = result.items[0];
           job_cache_->ApplyLiveJob(id, item.version, item.value);
           on_located(JobLocation::kLive);
-        } else if (result.outcome == Outcome::kConflict) {
+        } else if (result.outcome == Outcome::kConflict) {  // no such key
           FindFinal(connection, id, on_located);
         } else {
           on_located(JobLocation::kUnavailable);
@@ -31,7 +31,7 @@
       connection, keys::ForFinalState(id),
       [this, id,
        on_located = std::move(on_located)](const StateResult& result) {
-        if (result.outcome == Outcome::kConflict) {
+        if (result.outcome == Outcome::kConflict) {  // no such key
           on_located(JobLocation::kNotFound);
           return;
         }
--- a/src/core/api/pending_requests.cc
+++ b/src/core/api/pending_requests.cc
@@ -14,6 +14,7 @@
       is_poll ? pending_polls_ : pending_.size() - pending_polls_;
   const size_t max_pending = is_poll ? kMaxWaitingPolls : kMaxWaitingChanges;
   const double timeout_s = is_poll ? kPollTimeoutS : kSubmitTimeoutS;
+  // Added even if it is refused, since Answer() ignores unknown requests.
   pending_[request] = {kind, context_->now + timeout_s};
   if (is_poll) ++pending_polls_;
   if (pending_of_kind < max_pending) return true;
--- a/src/core/api/quorum_reads.cc
+++ b/src/core/api/quorum_reads.cc
@@ -84,6 +84,8 @@
   // Requests by the id of a job that has ended.
   std::map<std::string, std::vector<uint64_t>> ended_jobs;
   for (const PendingPoll& poll : polls) {
+    // A conflict without failed keys does not show which jobs have ended, so
+    // the final state of each job is read.
     const bool is_still_live = result.outcome == Outcome::kOk ||
                                (has_conflict && !failed_keys.empty() &&
                                 !failed_keys.count(keys::ForLiveJob(poll.id)));
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -1,6 +1,6 @@
 // The core of one controller: a state machine that uses no clock, socket,
-// thread or log itself. Each input carries the time, and returns the actions to
-// carry out.
+// thread or log itself. Each input method takes the current time and returns
+// the actions that the caller has to execute.
 #pragma once
 
 #include <cstdint>
--- a/src/core/controller/failover_recovery.cc
+++ b/src/core/controller/failover_recovery.cc
@@ -60,6 +60,7 @@
     machine->lifecycle.from_earlier_term = true;
     machine->lifecycle.ever_reported = true;
     machine->lifecycle.identity_confirmed = true;
+    // All times start now: the machine had no chance to contact this leader.
     machine->lifecycle.provisioned_at = context_->now;
     machine->contact.last_contact_at = context_->now;
     machine->contact.last_heartbeat_at = context_->now;
--- a/src/core/controller/job_lifecycle.cc
+++ b/src/core/controller/job_lifecycle.cc
@@ -8,6 +8,7 @@
 void JobLifecycle::OnJobAdded(const std::string& id) {
   const CachedJob* cached = job_cache_->FindLiveJob(id);
   if (!cached || jobs_->Find(id)) return;
+  // Committed before this leader's key.
   const bool from_earlier_term =
       cached->version < election_->leader_precondition().version;
   Job* job = jobs_->Add(cached->job, cached->version, from_earlier_term,
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -53,11 +53,11 @@
 }
 
 void LeaderRole::OnLeadershipAcquired() {
-  OnLeadershipLost();
+  ResetTermState();
   recovery_.Start();
 }
 
-void LeaderRole::OnLeadershipLost() {
+void LeaderRole::ResetTermState() {
   recovery_.Reset();
   health_monitor_.OnTermStarted();
   writer_.Clear();
--- a/src/core/controller/leader_role.h
+++ b/src/core/controller/leader_role.h
@@ -55,8 +55,7 @@
 
   // Starts the failover recovery.
   void OnLeadershipAcquired();
-  // Clears the state of the term.
-  void OnLeadershipLost();
+  void OnLeadershipLost() { ResetTermState(); }
   // Runs all periodic work that is due. Does nothing while this node does not
   // lead.
   void Tick();
@@ -65,6 +64,7 @@
   // Called with each catalogue of machine types read from the cloud.
   void UpdateCatalog(const std::vector<MachineType>& types);
   // Called by the job cache for each new live job, and for each job that ends.
+  // Ignored until recovery is complete: recovery itself adds all live jobs.
   void OnJobAdded(const std::string& id);
   void OnJobEnded(const std::string& id);
   // Handles a heartbeat. Called only while this node may renew worker leases.
@@ -78,6 +78,8 @@
   }
 
  private:
+  // Clears the state of the previous term.
+  void ResetTermState();
   // The steps of a tick; each runs only when its timer is due.
   void CommitResults();
   void ApplyPolicies();
--- a/src/core/controller/node_health.cc
+++ b/src/core/controller/node_health.cc
@@ -9,7 +9,7 @@
 
 bool NodeHealth::IsHealthy() const {
   const double unserved_since = context_->state_unserved_since();
-  if (unserved_since == 0) return true;
+  if (unserved_since == 0) return true;  // the state service serves this node
   // Peers that were served clearly later (by kCutOffThresholdS) show that only
   // this node is affected, not that the service is down.
   const auto served_peers = std::count_if(
--- a/src/core/controller/peer_status_exchange.h
+++ b/src/core/controller/peer_status_exchange.h
@@ -34,8 +34,8 @@
   // Returns whether a broadcast is due. If so, the next one is due
   // kPeerStatusIntervalS later.
   bool BroadcastDue() { return timer_.Due(context_->now); }
-  // Sends a message to all peers. `counts` are those of all jobs on the leader,
-  // and empty on other nodes.
+  // Sends a message to all peers, and stores `counts` in this node's job cache.
+  // `counts` are those of all jobs on the leader, and empty on other nodes.
   void Broadcast(const std::vector<JobCounts>& counts);
   // Called with each message from a peer.
   void OnPeerStatus(const PeerStatus& status);
--- a/src/core/controller/scheduler_statistics.h
+++ b/src/core/controller/scheduler_statistics.h
@@ -26,7 +26,7 @@
   size_t baseline_machines = 0;
   int unreconciled_machines = 0;  // see UnreconciledMachines
   double baseline_target_cpus = 0;
-  // Of the wait predictor.
+  // Accuracy of the wait predictor.
   double predictor_error_s = 0;  // mean absolute error
   double predictor_matthews_correlation = 0;
   size_t predictor_samples = 0;
--- a/src/core/coordination/completion_store.cc
+++ b/src/core/coordination/completion_store.cc
@@ -50,7 +50,7 @@
     const std::string job_id = job_and_chunk.substr(0, slash);
     auto record = protocol::ParseCompletionRecord(item.value);
     if (!record) continue;
-    if (!record->first_task) {
+    if (!record->first_task) {  // a whole chunk: the key contains its number
       const auto chunk = static_cast<uint32_t>(
           std::strtoul(job_and_chunk.c_str() + slash + 1, nullptr, 10));
       record->first_task = chunk * kTasksPerCompletionRecord;
--- a/src/core/coordination/completion_store.h
+++ b/src/core/coordination/completion_store.h
@@ -63,9 +63,10 @@
   JobTable* jobs_;
   StateWriter* writer_;
   const StateLimitTracker* limits_;
-  std::map<std::string, IntervalSet> loaded_tasks_;           // by job id
-  std::map<std::string, std::set<std::string>> stored_keys_;  // by job id
-  std::set<std::string> dirty_jobs_;                          // job ids
+  std::map<std::string, IntervalSet> loaded_tasks_;  // by job id
+  // The keys that Remove() deletes, by job id.
+  std::map<std::string, std::set<std::string>> stored_keys_;
+  std::set<std::string> dirty_jobs_;  // job ids
 };
 
 }  // namespace sorrelwood
--- a/src/core/coordination/job_cache.cc
+++ b/src/core/coordination/job_cache.cc
@@ -47,6 +47,7 @@
                 if (const auto leader = protocol::ParseLeaderRecord(item.value))
                   ApplyLeader(item.version, *leader, item.version);
               } else if (leader_result.outcome == Outcome::kConflict) {
+                // The leader key is absent.
                 ApplyLeader(0, LeaderRecord(), revision);
               } else {
                 retry_at_ = context_->now + kLoadRetryS;
@@ -93,8 +94,10 @@
   }
   if (const std::string id = keys::StripPrefix(change.key, keys::kLivePrefix);
       !id.empty()) {
+    // A removal is ignored: the transaction that removes a live key also writes
+    // the final key, whose change ends the job here.
     if (!change.removed) ApplyLiveJob(id, change.version, change.value);
-    return;  // a removal adds the final key in the same transaction
+    return;
   }
   if (const std::string id = keys::StripPrefix(change.key, keys::kFinalPrefix);
       !id.empty() && !change.removed) {
--- a/src/core/coordination/job_cache.h
+++ b/src/core/coordination/job_cache.h
@@ -23,7 +23,7 @@
 
 class JobCache {
  public:
-  // Two watches are sent at least `min_watch_interval_s` apart.
+  // Consecutive watches are sent at least `min_watch_interval_s` apart.
   explicit JobCache(Context* context, double min_watch_interval_s = 0)
       : context_(context), min_watch_interval_s_(min_watch_interval_s) {}
 
--- a/src/core/coordination/job_finisher.cc
+++ b/src/core/coordination/job_finisher.cc
@@ -41,7 +41,7 @@
     completed_job_ids_.push_back(id);  // retry
   }
   // Either the job was cancelled, or an earlier attempt was committed but its
-  // response was lost. The final key tells which.
+  // response was lost. The final key shows which.
   if (result.outcome == Outcome::kConflict) ReadFinalState(id);
 }
 
--- a/src/core/coordination/leader_election.cc
+++ b/src/core/coordination/leader_election.cc
@@ -90,7 +90,8 @@
     leader_absent_since_ = context_->now;
   if (election_in_flight_ || !job_cache_->loaded() || context_->now < retry_at_)
     return;
-  // After a resignation the other nodes go first. Guards against re-electing a
+  // A node that has resigned recently gives the other nodes
+  // kResignedElectionDelayS to win the election. Guards against re-electing a
   // node that is still cut off from the workers when its successor fails.
   if (leader_absent_since_ > 0 && context_->now < next_resignation_at_ &&
       context_->now < leader_absent_since_ + kResignedElectionDelayS)
@@ -148,6 +149,7 @@
           }
           term = *stored_term;
         } else if (term_result.outcome != Outcome::kConflict) {
+          // Not an absent key (kConflict): the read has failed.
           election_in_flight_ = false;
           retry_at_ = context_->now + kElectionRetryS;
           return;
--- a/src/core/coordination/leader_election.h
+++ b/src/core/coordination/leader_election.h
@@ -39,9 +39,10 @@
   // MayDispatch() is false from this time on unless the leader's lease is
   // renewed (steady clock, s).
   double dispatch_deadline() const;
-  // Whether heartbeats may be answered, which renews the workers' leases. The
-  // window keeps running tasks alive through an outage of the state service,
-  // but not tasks whose cancellation has been confirmed to a user.
+  // Whether heartbeats may be answered, which renews the workers' leases.
+  // Allowed for worker_lease_renewal_window_s() after the job cache was last
+  // synced: running tasks survive a short outage of the state service, but a
+  // task whose cancellation has been confirmed to a user is not kept alive.
   bool MayRenewWorkerLeases() const;
   // How long a leader answers heartbeats after the job cache was last synced
   // (s).
@@ -53,7 +54,8 @@
   void StepDown(const std::string& reason);
   // Steps down and removes the leader key, so that a node that can reach the
   // workers may take over. Does nothing within kMinResignIntervalS of the last
-  // resignation: if all machines are down, no node can reach them.
+  // resignation: if all machines are down, no node can reach them, and
+  // another resignation would not help.
   void Resign(const std::string& reason);
   std::function<void()> on_leadership_acquired, on_leadership_lost;
 
@@ -81,9 +83,10 @@
   uint64_t leader_key_version_ = 0;  // as written by this process
   uint64_t lease_id_ = 0;
   bool renewal_in_flight_ = false;
-  bool renewal_refused_ = false;    // whether the last renewal was refused
-  double next_renewal_at_ = 0;      // steady clock, s
-  double next_resignation_at_ = 0;  // earliest (steady clock, s)
+  bool renewal_refused_ = false;  // whether the last renewal was refused
+  double next_renewal_at_ = 0;    // steady clock, s
+  // No resignation happens before (steady clock, s).
+  double next_resignation_at_ = 0;
   // When the job cache first showed no leader key (steady clock, s); 0: the key
   // exists or its state is unknown.
   double leader_absent_since_ = 0;
--- a/src/core/coordination/state_writer.cc
+++ b/src/core/coordination/state_writer.cc
@@ -178,7 +178,7 @@
         if (result.outcome == Outcome::kOk && !result.items.empty()) {
           versions_[key] = result.items[0].version;
           uncertain_keys_.erase(key);
-        } else if (result.outcome == Outcome::kConflict) {
+        } else if (result.outcome == Outcome::kConflict) {  // no such key
           versions_.erase(key);
           uncertain_keys_.erase(key);
         } else {
--- a/src/core/coordination/state_writer.h
+++ b/src/core/coordination/state_writer.h
@@ -56,8 +56,8 @@
            (tokens_ >= kMutationsPerJobEnd && urgent_queue_.empty() &&
             normal_queue_.empty());
   }
-  // Sends the end of a job once: kMutationsPerJobEnd mutations or slightly
-  // more.
+  // Sends the end of a job once, without retry. It takes kMutationsPerJobEnd
+  // mutations.
   void CommitJobEnd(std::vector<Precondition> preconditions,
                     std::vector<Mutation> mutations, StateCallback done);
 
--- a/src/core/workers/attempt_tracker.cc
+++ b/src/core/workers/attempt_tracker.cc
@@ -59,6 +59,7 @@
   const TaskId id = attempt_entry->first;
   const TaskAttempt attempt = machine->RemoveAttempt(attempt_entry);
   Job* job = jobs_->Find(id.job);
+  // The attempts of an ended job count as orphaned usage of its team.
   if (!job || !attempt.job_active) {
     jobs_->AddOrphanedUsage(attempt.record->spec.team, -attempt.cpus,
                             -attempt.gpus);
--- a/src/core/workers/command_selector.h
+++ b/src/core/workers/command_selector.h
@@ -34,10 +34,10 @@
 
   // Stop commands for the attempts of jobs that have ended, whatever token the
   // heartbeat carries. Each response renews the worker's lease, so without
-  // these commands it would keep the tasks of a cancelled job alive. This
-  // happens while the leader has not read its records yet, possibly for a whole
-  // outage, or if leaders change so fast that no heartbeat carries the token of
-  // the leader that receives it.
+  // these commands it would keep the tasks of a cancelled job alive. Select()
+  // does not run while the leader has not read its records yet, possibly for a
+  // whole outage, or if leaders change so fast that no heartbeat carries the
+  // token of the leader that receives it.
   std::vector<Command> SelectStopsForEndedJobs(
       const Heartbeat& heartbeat) const;
 
--- a/src/core/workers/failure_tracker.cc
+++ b/src/core/workers/failure_tracker.cc
@@ -24,8 +24,8 @@
         "job has failed on several machines and succeeded on none; retrying "
         "with backoff",
         {{"job", job->id()}});
-    // Ends the quarantine of machines that only this job's failures spoke
-    // against.
+    // Ends the quarantine of machines that were quarantined only because of
+    // this job's failures.
     ReassessMachines(job->failures.machines_failed_on);
   }
   // A task that keeps failing while other tasks of its job succeed is at fault
--- a/src/core/workers/health_monitor.h
+++ b/src/core/workers/health_monitor.h
@@ -35,11 +35,11 @@
   void CheckMachines();
   // This process handled no input for `gap_s` seconds. Moves the contact times
   // forward so that the pause does not count as silence of the machines. The
-  // worker leases expired during the pause too, so the time of the latest
-  // response is not moved.
+  // time of the latest response is not moved, because the worker leases that it
+  // renewed were not extended by the pause.
   void OnProcessPause(double gap_s);
-  // A machine that has been silent for longer (s) was pushed the token and did
-  // not respond.
+  // The silence (s) after which the token has been pushed to a machine and that
+  // push has timed out.
   double UnreachableThresholdS() const;
 
  private:
@@ -82,8 +82,8 @@
   ContactCounts UpdateContactCounts();
   void DetectUnreachable(Machine* machine) const;
   // Whether the machine is known only from a record of an earlier term and the
-  // cloud's inventory does not list it. Such records do not count as silent
-  // machines, because the leader would resign again and again.
+  // cloud's inventory does not list it. If these records counted as silent
+  // machines, each new leader would resign because of them.
   bool IsRecordWithoutMachine(const Machine& machine) const;
   bool MostMachinesSilent(const ContactCounts& counts) const;
   static EarlyReleases AllowedEarlyReleases(const ContactCounts& counts);
@@ -100,6 +100,8 @@
   // the token within UnreachableThresholdS(): either no message reaches it, or
   // its report was a delayed duplicate.
   bool IsTokenUndelivered(const Machine& machine) const;
+  // Withdraws planned attempts, reschedules the tasks once they have ended, and
+  // releases the machine as soon as that is allowed.
   void HandleLostContact(Machine* machine, bool may_release_early);
   void PushToken(Machine* machine);
   void OnPushResult(const std::string& name, const PushResult& result);
@@ -112,7 +114,7 @@
   Reconciler* reconciler_;
   AttemptTracker* attempts_;
   uint64_t term_generation_ = 0;  // incremented with each term
-  double term_started_at_ = 0;
+  double term_started_at_ = 0;    // steady clock, s
 };
 
 }  // namespace sorrelwood
--- a/src/core/workers/heartbeat_handler.cc
+++ b/src/core/workers/heartbeat_handler.cc
@@ -102,6 +102,8 @@
 void HeartbeatHandler::RecordDeliveryProof(Machine* machine,
                                            const Heartbeat& heartbeat) {
   MachineContact& contact = machine->contact;
+  // The first heartbeat of the term proves nothing, but starts the time in
+  // which a proof is expected.
   const bool is_proved =
       ProvesDelivery(*machine, heartbeat) || IsFirstOfTerm(*machine);
   if (is_proved) contact.last_delivery_proof_at = context_->now;
--- a/src/core/workers/machine_recorder.cc
+++ b/src/core/workers/machine_recorder.cc
@@ -18,7 +18,7 @@
   };
   writer_->Put(keys::ForMachine(machine->name),
                protocol::EncodeMachineRecord(record),
-               {on_written, /*too_large=*/nullptr, /*urgent=*/true});
+               {on_written, /*on_too_large=*/nullptr, /*urgent=*/true});
 }
 
 }  // namespace sorrelwood
--- a/src/core/workers/machine_recorder.h
+++ b/src/core/workers/machine_recorder.h
@@ -13,9 +13,10 @@
                   Autoscaler* autoscaler)
       : machines_(machines), writer_(writer), autoscaler_(autoscaler) {}
 
-  // Writes the machine's record, unless a write is already in flight or its
-  // type is not known yet. No task is started on the machine before the record
-  // is committed; otherwise a later leader might not know of the tasks there.
+  // Queues the write of the machine's record, unless it was queued before or
+  // the machine's type is not known yet. No task is started on the machine
+  // before the record is committed; otherwise a later leader might not know of
+  // the tasks there.
   void Record(Machine* machine);
 
  private:
--- a/src/core/workers/quarantine.cc
+++ b/src/core/workers/quarantine.cc
@@ -32,6 +32,7 @@
   MachineHealth& health = machine->health;
   const Evidence evidence = CollectEvidence(*machine);
   const bool should_quarantine = evidence.JustifiesQuarantine();
+  // 0: the machine is known to be at fault.
   if (evidence.ProvesMachineFault()) health.suspect_until = 0;
   if (should_quarantine == health.quarantined) return;
   health.quarantined = should_quarantine;
@@ -45,6 +46,8 @@
         "quarantine ended because failures no longer indicate a machine "
         "fault; the machine receives tasks again",
         {{"machine", machine->name}});
+  // The jobs may be at fault: they are tried elsewhere before the machine is
+  // released.
   if (should_quarantine && !evidence.ProvesMachineFault())
     health.suspect_until = context_->now + kSuspectMachineAvoidS;
   if (evidence.ProvesMachineFault()) StopAllAttempts(machine);
--- a/src/core/workers/task_outcomes.h
+++ b/src/core/workers/task_outcomes.h
@@ -44,7 +44,7 @@
     bool was_tracked = false;
     bool requeue_for_baseline = false, requeue_on_rented = false;
     bool stop_requested = false;
-    double ran_s = 0;
+    double ran_s = 0;  // 0: it never ran, or was not tracked
   };
   EndedAttempt SummarizeAttempt(const TaskAttempt* attempt) const;
   // Handles an attempt that exited with kDone.
