--- a/src/config/capacity.cc
+++ b/src/config/capacity.cc
@@ -11,8 +11,9 @@
 
 constexpr double kKibPerMib = 1024;
 
-// Memory left when the process itself and all connections have theirs (KiB);
-// below 0 when it is too little even for these.
+// Memory that remains after the process's own needs and all connections (KiB);
+// negative if the limit does not cover these. Only meaningful with a memory
+// limit.
 double MemoryBeyondConnectionsKib(const ClusterSettings& settings) {
   return (settings.memory_limit_mib - kBaseMemoryMib) * kKibPerMib -
          static_cast<double>(MaxConnections(settings)) * kConnectionMemoryKib;
@@ -42,23 +43,26 @@
 size_t MaxMachines(const ClusterSettings& settings) {
   const size_t by_connections = MaxWorkerConnections(settings);
   if (settings.memory_limit_mib <= 0) return by_connections;
-  const double left_kib =
+  const double machine_memory_kib =
       MemoryBeyondConnectionsKib(settings) -
       static_cast<double>(kMinRequestThreads) * kRequestMemoryKib;
-  const double by_memory = std::max(0.0, left_kib / kMachineMemoryKib);
+  const double by_memory =
+      std::max(0.0, machine_memory_kib / kMachineMemoryKib);
   return std::min(by_connections, static_cast<size_t>(by_memory));
 }
 
 std::string DescribeCapacity(const ClusterSettings& settings) {
   const size_t machines = MaxMachines(settings);
-  const char* bound =
+  const char* limiting_resource =
       machines < MaxWorkerConnections(settings) ? "memory" : "sockets";
-  const double records_per_s =
+  const double machine_records_per_s =
       settings.state_mutations_per_s * kLeaderWriteShare;
   std::ostringstream text;
-  text << "the settings carry up to " << machines << " machines, bounded by "
-       << bound << "; the records of so many new ones take "
-       << std::lround(static_cast<double>(machines) / records_per_s) << " s";
+  text << "the settings allow up to " << machines << " machines, bounded by "
+       << limiting_resource << "; writing the records of " << machines
+       << " new machines to the state service takes "
+       << std::lround(static_cast<double>(machines) / machine_records_per_s)
+       << " s";
   return text.str();
 }
 
--- a/src/config/capacity.h
+++ b/src/config/capacity.h
@@ -1,6 +1,7 @@
-// How much one controller carries within the limits of its machine: each open
-// connection takes a socket and some memory, each request in hand a thread, and
-// each machine of the cluster a connection and its records.
+// Computes what one controller can handle within the socket and memory limits
+// of its machine: each open connection needs a socket and memory, each request
+// in progress a thread, and each machine of the cluster a connection and memory
+// for its records.
 #pragma once
 
 #include <cstddef>
@@ -10,16 +11,18 @@
 
 namespace sorrelwood {
 
-// Connections of users, workers and probes that the sockets allow.
+// Connections from users, workers and probes that the socket limit allows.
 size_t MaxConnections(const ClusterSettings& settings);
-// How many of them workers may hold.
+// The workers' share of MaxConnections.
 size_t MaxWorkerConnections(const ClusterSettings& settings);
-// Requests in hand at once, each with a thread, that the memory allows.
+// Concurrent requests, each with a thread, that the memory limit allows; at
+// most kMaxRequestThreads.
 size_t MaxRequestThreads(const ClusterSettings& settings);
-// Machines that a leader carries: each needs a connection and memory.
+// Machines that a leader can manage: each needs a connection and memory.
 size_t MaxMachines(const ClusterSettings& settings);
-// One line for the log: how many machines the settings carry, what bounds it,
-// and how long the records of so many take at the state service's rate.
+// A log line: MaxMachines, whether sockets or memory bound it, and how long a
+// leader takes to write the records of that many machines at its share of the
+// state service's write rate.
 std::string DescribeCapacity(const ClusterSettings& settings);
 
 }  // namespace sorrelwood
--- a/src/config/cluster_settings.cc
+++ b/src/config/cluster_settings.cc
@@ -12,19 +12,19 @@
 namespace sorrelwood {
 namespace {
 
-// Ranges that hold for several fields. The upper ends only keep slips of the
-// pen and overflows out.
+// Ranges shared by several fields. The upper ends only reject typing errors and
+// values that would overflow.
 constexpr double kMaxSeconds = 1e7;
 constexpr double kMaxCount = 1e9;
 constexpr double kMaxSockets = 1e6;
 constexpr NumberRange kSeconds{0, kMaxSeconds};
 constexpr NumberRange kCount{0, kMaxCount};
-constexpr NumberRange kRate{0.1, kMaxCount};  // per second
+constexpr NumberRange kRatePerS{0.1, kMaxCount};
 constexpr NumberRange kValueKib{0.1, kMaxCount};
 // A conditional write takes at least two mutations.
 constexpr NumberRange kMutationsPerTransaction{2, 1e6};
 
-// A number that must be in the file, and the member that it sets.
+// A required number in the file and the member that it sets.
 struct NumberField {
   const char* name;
   double ClusterSettings::*member;
@@ -36,8 +36,8 @@
     {"lease_s", &ClusterSettings::worker_lease_s, {0.1, kMaxSeconds}},
     {"cancel_s", &ClusterSettings::cancel_deadline_s, {0.1, kMaxSeconds}}};
 constexpr NumberField kStateFields[] = {
-    {"rps", &ClusterSettings::state_requests_per_s, kRate},
-    {"write_rps", &ClusterSettings::state_mutations_per_s, kRate},
+    {"rps", &ClusterSettings::state_requests_per_s, kRatePerS},
+    {"write_rps", &ClusterSettings::state_mutations_per_s, kRatePerS},
     {"value_kb", &ClusterSettings::state_max_value_kib, kValueKib}};
 constexpr NumberField kCloudFields[] = {
     {"rps", &ClusterSettings::cloud_requests_per_s, {0.01, kMaxCount}},
@@ -62,12 +62,15 @@
   for (const JsonSection& item : file.Sections("siblings")) {
     Peer peer{item.Text("node_name"), item.Text("site"), item.Address("addr")};
     if (!names.insert(peer.name).second)
-      item.Report("node_name", "stands twice");
+      item.Report("node_name",
+                  "must differ from this node's and all other siblings' names, "
+                  "got \"" +
+                      peer.name + "\" twice");
     settings->peers.push_back(std::move(peer));
   }
 }
 
-// 0, or a field that is missing, means no limit.
+// 0 or a missing field means that the team has no limit.
 double ReadLimit(const JsonSection& team, const char* name) {
   const double limit = team.OptionalNumber(name, kCount, 0);
   if (limit <= 0) return kNoLimit;
@@ -83,17 +86,19 @@
     team.cpus_max = ReadLimit(item, "cpus_max");
     team.gpus = item.OptionalNumber("gpus", kCount, 0);
     team.gpus_max = ReadLimit(item, "gpus_max");
-    if (!names.insert(team.name).second) item.Report("name", "stands twice");
+    if (!names.insert(team.name).second)
+      item.Report("name", "must differ from all other teams' names, got \"" +
+                              team.name + "\" twice");
     settings->teams.push_back(std::move(team));
   }
 }
 
-// An objective that can't be read is left out: the rest can be served without
-// it.
+// An invalid objective is ignored and listed in `ignored_objectives`, since the
+// scheduler works without it; it does not make the file invalid.
 void ReadObjectives(const JsonSection& cluster, ClusterSettings* settings) {
-  for (const JsonSection& listed : cluster.Sections("objectives")) {
+  for (const JsonSection& section : cluster.Sections("objectives")) {
     SettingsErrorCollector errors;
-    const JsonSection item = listed.WithErrors(&errors);
+    const JsonSection item = section.WithErrors(&errors);
     Objective objective;
     objective.kind = item.Text("kind");
     objective.job_class = item.OptionalText("class");
@@ -111,10 +116,12 @@
   settings->state_max_mutations_per_transaction =
       state.Count("txn_ops", kMutationsPerTransaction);
   if (!state.Has("next")) return;
-  // Announced limits; one that is not named stays as it is.
+  // Limits that the service has announced; those that are missing keep their
+  // present values.
   const JsonSection next = state.Section("next");
   settings->next_state_limits = StateLimits{
-      next.OptionalNumber("write_rps", kRate, settings->state_mutations_per_s),
+      next.OptionalNumber("write_rps", kRatePerS,
+                          settings->state_mutations_per_s),
       next.OptionalNumber("value_kb", kValueKib, settings->state_max_value_kib),
       static_cast<int>(
           next.OptionalNumber("txn_ops", kMutationsPerTransaction,
@@ -127,10 +134,12 @@
   settings->memory_limit_mib = limits.OptionalNumber("ram_mb", kCount, 0);
   const size_t threads = MaxRequestThreads(*settings);
   if (threads < kMinRequestThreads)
-    limits.Report("ram_mb", "is too little: " + std::to_string(threads) +
-                                " requests at once would fit, " +
+    limits.Report("ram_mb", "must leave memory for at least " +
                                 std::to_string(kMinRequestThreads) +
-                                " are the least");
+                                " concurrent requests, got " +
+                                FormatNumber(settings->memory_limit_mib) +
+                                ", which leaves memory for " +
+                                std::to_string(threads));
 }
 
 }  // namespace
@@ -138,8 +147,11 @@
 SettingsResult<ClusterSettings> ParseClusterSettings(const std::string& text) {
   const auto document =
       nlohmann::json::parse(text, nullptr, /*allow_exceptions=*/false);
+  if (document.is_discarded())
+    return tl::unexpected(SettingsError{"", "", "is not valid JSON"});
   if (!document.is_object())
-    return tl::unexpected(SettingsError{"", "", "not a JSON object"});
+    return tl::unexpected(SettingsError{
+        "", "", "must be a JSON object, got " + DescribeJsonValue(document)});
   SettingsErrorCollector errors;
   const JsonSection file(&document, "", &errors);
   ClusterSettings settings;
--- a/src/config/cluster_settings.h
+++ b/src/config/cluster_settings.h
@@ -1,5 +1,5 @@
-// Reads and checks the platform's settings file (JSON). The names of its fields
-// are mapped to those of ClusterSettings here and nowhere else.
+// Reads and validates the platform's settings file (JSON). Only this file maps
+// the names of its fields to the members of ClusterSettings.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace sorrelwood {
 
-// The first error of the file ends the reading, but for objectives: those that
-// can't be read are listed in `ignored_objectives`.
+// Returns the first error in the text. Invalid objectives are not errors; they
+// are listed in `ignored_objectives`.
 SettingsResult<ClusterSettings> ParseClusterSettings(const std::string& text);
 SettingsResult<ClusterSettings> LoadClusterSettings(const std::string& path);
 
--- a/src/config/json_section.cc
+++ b/src/config/json_section.cc
@@ -10,10 +10,46 @@
 
 using nlohmann::json;
 
+namespace {
+
+// Longer texts are cut off in error messages (bytes).
+constexpr size_t kMaxQuotedBytes = 60;
+
+// The last part of an error message: the value that was found. `value` is null
+// if the field is missing or null.
+std::string DescribeFound(const json* value) {
+  return value ? "got " + DescribeJsonValue(*value) : "but is missing or null";
+}
+
+}  // namespace
+
+std::string FormatNumber(double number) {
+  // Enough digits to print 1e9 and the fractions of a settings file in full.
+  constexpr int kDigits = 12;
+  std::ostringstream text;
+  text.precision(kDigits);
+  text << number;
+  return text.str();
+}
+
+std::string NumberRange::Describe() const {
+  return "from " + FormatNumber(min) + " to " + FormatNumber(max);
+}
+
+std::string DescribeJsonValue(const json& value) {
+  if (value.is_object()) return "an object";
+  if (value.is_array()) return "a list";
+  std::string text =
+      value.dump(/*indent=*/-1, /*indent_char=*/' ', /*ensure_ascii=*/true);
+  if (text.size() > kMaxQuotedBytes)
+    text = text.substr(0, kMaxQuotedBytes) + "...";
+  return text;
+}
+
 JsonSection JsonSection::Section(const char* name) const {
   const json* found = Find(name);
   if (!found || !found->is_object()) {
-    Report(name, "must be an object");
+    Report(name, "must be an object, " + DescribeFound(found));
     found = nullptr;
   }
   return {found, FieldPath(name), errors_};
@@ -24,14 +60,15 @@
   const json* found = Find(name);
   if (!found) return sections;
   if (!found->is_array()) {
-    Report(name, "must be a list");
+    Report(name, "must be a list, " + DescribeFound(found));
     return sections;
   }
   int index = 0;
   for (const json& item : *found) {
     const std::string path =
         FieldPath(name) + "[" + std::to_string(index++) + "]";
-    if (!item.is_object()) errors_->Report(path, "must be an object");
+    if (!item.is_object())
+      errors_->Report(path, "must be an object, " + DescribeFound(&item));
     sections.emplace_back(item.is_object() ? &item : nullptr, path, errors_);
   }
   return sections;
@@ -41,7 +78,7 @@
   const json* found = Find(name);
   if (found && found->is_string() && !found->get<std::string>().empty())
     return found->get<std::string>();
-  Report(name, "must be a string, not empty");
+  Report(name, "must be a non-empty string, " + DescribeFound(found));
   return "";
 }
 
@@ -53,7 +90,10 @@
   std::string text = Text(name);
   Endpoint endpoint;
   if (!text.empty() && !ParseEndpoint(text, &endpoint))
-    Report(name, "must be an IPv4 address and a port");
+    Report(
+        name,
+        "must be an IPv4 address and a port from 0 to 65535 (IP:port), got \"" +
+            text + "\"");
   return text;
 }
 
@@ -63,9 +103,8 @@
     const double number = found->get<double>();
     if (range.Contains(number)) return number;
   }
-  std::ostringstream reason;
-  reason << "must be a number from " << range.min << " to " << range.max;
-  Report(name, reason.str());
+  Report(name,
+         "must be a number " + range.Describe() + ", " + DescribeFound(found));
   return range.min;
 }
 
@@ -88,8 +127,8 @@
 
 const json* JsonSection::Find(const char* name) const {
   if (!object_) return nullptr;
-  auto it = object_->find(name);
-  return it == object_->end() || it->is_null() ? nullptr : &*it;
+  const auto field = object_->find(name);
+  return field == object_->end() || field->is_null() ? nullptr : &*field;
 }
 
 std::string JsonSection::FieldPath(const char* name) const {
--- a/src/config/json_section.h
+++ b/src/config/json_section.h
@@ -1,5 +1,5 @@
-// Reads the fields of nested JSON objects and checks them. Fields that are not
-// asked for are ignored, so that newer files can be read by older versions.
+// Reads and validates the fields of nested JSON objects. Unknown fields are
+// ignored, so that older versions can read newer files.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -11,8 +11,8 @@
 
 namespace sorrelwood {
 
-// Keeps the first error that is reported to it; the reader goes on with
-// replacement values, so that it need not check after each field.
+// Keeps the first error reported. The reader continues with placeholder values
+// after an error, so that callers need not check after each field.
 class SettingsErrorCollector {
  public:
   void Report(const std::string& field, const std::string& reason) {
@@ -24,53 +24,66 @@
   std::optional<SettingsError> first_;
 };
 
-// The values that a number may have, ends included.
+// The allowed values of a number, ends included.
 struct NumberRange {
   double min = 0;
   double max = 0;
 
-  // False for what is not a number (NaN), too.
+  // False for NaN.
   bool Contains(double number) const { return number >= min && number <= max; }
+  // For error messages: "from 0 to 10".
+  std::string Describe() const;
 };
 
-// One object of a settings file. It points into the parsed document and to a
-// collector of errors; both must live longer.
+// Formats a number for error messages, without an exponent up to 1e12.
+std::string FormatNumber(double number);
+
+// A value for error messages: scalars as JSON text, cut off if long; "a list"
+// or "an object" for structured values.
+std::string DescribeJsonValue(const nlohmann::json& value);
+
+// One object of a settings file. It refers to the parsed document and to an
+// error collector, which both must outlive it.
 class JsonSection {
  public:
   // `path` names the object in errors; empty for the whole document. A null
-  // `object` is one that could not be read: all of its fields are missing.
+  // `object` stands for a missing or invalid one: all of its fields are
+  // missing.
   JsonSection(const nlohmann::json* object, std::string path,
               SettingsErrorCollector* errors)
       : object_(object), path_(std::move(path)), errors_(errors) {}
 
-  // The field is there and is not null.
+  // True if the field is present and not null. Null counts as missing in all
+  // functions below.
   bool Has(const char* name) const { return Find(name) != nullptr; }
 
-  // A nested object.
+  // A required nested object.
   JsonSection Section(const char* name) const;
   // A list of objects; empty when the field is missing.
   std::vector<JsonSection> Sections(const char* name) const;
-  // A string that must not be empty.
+  // A required non-empty string; empty after an error.
   std::string Text(const char* name) const;
-  // The same, or an empty string when the field is missing.
+  // A non-empty string, or an empty one if the field is missing.
   std::string OptionalText(const char* name) const;
-  // "IPv4 address:port".
+  // A required IPv4 address and port, as "IP:port".
   std::string Address(const char* name) const;
-  // A number within `range`.
+  // A required number within `range`; the lower end of `range` after an error.
   double Number(const char* name, const NumberRange& range) const;
-  // The same, or `fallback` when the field is missing.
+  // A number within `range`, or `fallback` if the field is missing.
   double OptionalNumber(const char* name, const NumberRange& range,
                         double fallback) const;
-  // A number within `range`, without its fraction.
+  // A required number within `range`, its fraction cut off.
   int Count(const char* name, const NumberRange& range) const;
 
-  // Reports what is wrong with a field.
+  // Reports an error in the field `name`.
   void Report(const char* name, const std::string& reason) const;
-  // The same object, its errors reported elsewhere.
+  // The same object with its errors reported to another collector.
   JsonSection WithErrors(SettingsErrorCollector* errors) const;
 
  private:
+  // Null if the field is missing or null.
   const nlohmann::json* Find(const char* name) const;
+  // The field's path from the root of the document: "cluster.teams[0].name".
   std::string FieldPath(const char* name) const;
 
   const nlohmann::json* object_;
--- a/src/config/operator_settings.cc
+++ b/src/config/operator_settings.cc
@@ -5,7 +5,6 @@
 #include <google/protobuf/message.h>
 #include <google/protobuf/text_format.h>
 
-#include <sstream>
 #include <variant>
 
 #include "config/json_section.h"
@@ -18,13 +17,13 @@
 using google::protobuf::FieldDescriptor;
 using google::protobuf::Message;
 
-// The upper end only keeps slips of the pen out.
+// Only rejects typing errors.
 constexpr double kMaxSeconds = 1e7;
-// Guards against moves that follow each other too fast or never.
+// Prevents settings that would delay moves without end or start them too fast.
 constexpr double kMaxSpreadDelayS = 3600;
 constexpr double kMaxMovesPerMinute = 100000;
 
-// A number of a message in operator.proto, and the member that it sets.
+// A number field of a message in operator.proto and the member that it sets.
 template <typename Settings>
 struct NumberField {
   const char* name;
@@ -73,8 +72,8 @@
   return reflection->GetDouble(message, field);
 }
 
-// Sets the members whose fields are in the message and within their ranges.
-// `section` names the message in errors.
+// Sets the members whose fields are present, and reports those outside their
+// ranges. `section` names the message in errors.
 template <typename Settings, size_t N>
 void ReadNumbers(const Message& message, const std::string& section,
                  const NumberField<Settings> (&fields)[N],
@@ -85,9 +84,9 @@
     if (!message.GetReflection()->HasField(message, descriptor)) continue;
     const double number = GetNumber(message, descriptor);
     if (!field.range.Contains(number)) {
-      std::ostringstream reason;
-      reason << "must be from " << field.range.min << " to " << field.range.max;
-      errors->Report(section + "." + field.name, reason.str());
+      errors->Report(section + "." + field.name,
+                     "must be " + field.range.Describe() + ", got " +
+                         FormatNumber(number));
       continue;
     }
     std::visit(
@@ -110,16 +109,18 @@
   settings->placement = spread.placement();
   settings->moves = spread.moves();
   ReadNumbers(spread, "load_spread", kLoadSpreadFields, errors, settings);
-  // Without a distance between the two, moves would start and stop in turn.
+  // Without hysteresis moves would start and stop in quick alternation.
   if (settings->stop_imbalance >= settings->start_imbalance)
     errors->Report("load_spread.end_imbalance",
-                   "must be less than begin_imbalance");
+                   "must be less than begin_imbalance (" +
+                       FormatNumber(settings->start_imbalance) + "), got " +
+                       FormatNumber(settings->stop_imbalance));
 }
 
-// Keeps the first syntax error, with its place in the text.
+// Keeps the first syntax error with its line and column.
 class SyntaxErrorCollector : public google::protobuf::io::ErrorCollector {
  public:
-  // `line` and `column` count from 0.
+  // The library counts `line` and `column` from 0.
   void AddError(int line, google::protobuf::io::ColumnNumber column,
                 const std::string& message) override {
     errors_.Report("", "line " + std::to_string(line + 1) + ", column " +
--- a/src/config/operator_settings.h
+++ b/src/config/operator_settings.h
@@ -1,6 +1,6 @@
-// Reads and checks the operators' settings (operator.proto, protobuf text
-// format). The names of its fields are mapped to those of PolicySettings here
-// and nowhere else.
+// Reads and validates the operators' settings file (operator.proto, protobuf
+// text format). Only this file maps the names of its fields to the members of
+// PolicySettings.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace sorrelwood {
 
-// Fields that are missing keep their defaults; unknown ones are errors.
+// Missing fields keep their defaults; unknown fields are errors.
 SettingsResult<PolicySettings> ParseOperatorSettings(const std::string& text);
 SettingsResult<PolicySettings> LoadOperatorSettings(const std::string& path);
 
--- a/src/config/settings_error.h
+++ b/src/config/settings_error.h
@@ -1,4 +1,4 @@
-// Why a settings file can't be used.
+// Describes why a settings file is invalid.
 #pragma once
 
 #include <string>
@@ -7,11 +7,11 @@
 namespace sorrelwood {
 
 struct SettingsError {
-  std::string file;    // path; empty: the text did not come from a file
-  std::string field;   // "fleet.hold_s"; empty: the file as a whole
-  std::string reason;  // "must be a string, not empty", ...
+  std::string file;    // path; empty if the text was not read from a file
+  std::string field;   // "fleet.hold_s"; empty for the file as a whole
+  std::string reason;  // "must be from 0 to 10, got 12"
 
-  // "file: field: reason", without the parts that are empty.
+  // "file: field: reason" without the empty parts.
   std::string Message() const {
     std::string message;
     if (!file.empty()) message += file + ": ";
--- a/src/config/settings_file.h
+++ b/src/config/settings_file.h
@@ -1,4 +1,4 @@
-// Reading a settings file from disk.
+// Reads a settings file from disk.
 #pragma once
 
 #include <string>
@@ -8,11 +8,11 @@
 
 namespace sorrelwood {
 
-// All of the file at `path`, or an error that names it.
+// Returns the content of the file at `path`, or an error with this path.
 SettingsResult<std::string> ReadSettingsFile(const std::string& path);
 
-// Reads the file at `path` and hands its text to `parse`; an error of either
-// names the file.
+// Reads the file at `path` and parses it with `parse`. Errors of both steps
+// contain the path.
 template <typename Settings>
 SettingsResult<Settings> LoadSettingsFile(
     const std::string& path,
--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -276,11 +276,11 @@
     return policy ? std::string() : policy.error().Message();
   };
   EXPECT_EQ(error_of("load_spread { headroom: 9 }"),
-            "load_spread.headroom: must be from 0.05 to 4");
+            "load_spread.headroom: must be from 0.05 to 4, got 9");
   EXPECT_EQ(error_of("load_spread { moves_per_minute: 0 }"),
-            "load_spread.moves_per_minute: must be from 1 to 100000");
+            "load_spread.moves_per_minute: must be from 1 to 100000, got 0");
   EXPECT_EQ(error_of("load_spread { begin_imbalance: 0.05 }"),
-            "load_spread.end_imbalance: must be less than begin_imbalance");
+            "load_spread.end_imbalance: must be less than begin_imbalance (0.05), got 0.08");
   EXPECT_NE(error_of("load_spread { often: true }").find("often"),
             std::string::npos);
 }
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -302,7 +302,7 @@
   std::string small = kSettings;
   small.replace(small.find("72.0"), 4, "20.0");
   const std::string error = ErrorOf(ParseClusterSettings(small));
-  EXPECT_EQ(error.find("cluster.machine_limits.ram_mb: is too little"), 0u)
+  EXPECT_EQ(error.find("cluster.machine_limits.ram_mb: must leave memory for at least 16 concurrent requests, got 20,"), 0u)
       << error;
 }
 
@@ -352,11 +352,11 @@
 TEST(Settings, AnErrorNamesTheFile) {
   EXPECT_EQ(ErrorOf(LoadClusterSettings("/no/such.json")),
             "/no/such.json: can't be read");
-  EXPECT_EQ(ErrorOf(ParseClusterSettings("[]")), "not a JSON object");
+  EXPECT_EQ(ErrorOf(ParseClusterSettings("[]")), "must be a JSON object, got a list");
   const std::string path = testing::TempDir() + "sorrelwood_operator_settings";
   std::ofstream(path) << "fleet { hold_s: -5 }";
   EXPECT_EQ(ErrorOf(LoadOperatorSettings(path)),
-            path + ": fleet.hold_s: must be from 0 to 1e+07");
+            path + ": fleet.hold_s: must be from 0 to 10000000, got -5");
   std::ofstream(path) << "fleet {\n  hold: 5 }";
   EXPECT_EQ(ErrorOf(LoadOperatorSettings(path)).find(path + ": line 2, "), 0u);
   std::filesystem::remove(path);
