--- a/src/base/parse_error.h
+++ b/src/base/parse_error.h
@@ -1,4 +1,4 @@
-// The error of reading text from outside: which field is wrong, and why.
+// Describes why a text from outside the process could not be parsed.
 #pragma once
 
 #include <string>
@@ -8,10 +8,10 @@
 namespace sorrelwood {
 
 struct ParseError {
-  std::string field;   // empty: the text as a whole
+  std::string field;   // empty for the text as a whole
   std::string reason;  // "is missing", "must be a number", ...
 
-  // One line for users and logs.
+  // A single line for users and logs: "<field> <reason>".
   std::string Message() const {
     return field.empty() ? reason : field + " " + reason;
   }
--- a/src/cloud/cloud_client.cc
+++ b/src/cloud/cloud_client.cc
@@ -17,35 +17,35 @@
 namespace path = protocol::path;
 namespace status = protocol::status;
 
-// Tells whether the cloud has carried out a request. Its errors all mean that
-// it has not.
-Outcome OutcomeOfAnswer(const HttpAnswer& answer) {
-  if (answer.status == status::kOk) return Outcome::kOk;
-  if (answer.status >= status::kBadRequest || answer.not_sent)
+// Returns whether the cloud has executed a request. All of its error statuses
+// mean that it has not.
+Outcome DetermineOutcome(const HttpResult& response) {
+  if (response.status == status::kOk) return Outcome::kOk;
+  if (response.status >= status::kBadRequest || response.not_sent)
     return Outcome::kRefused;
   return Outcome::kUnknown;
 }
 
-// An outage has the same status as a lack of machines; the error's text tells
-// them apart.
-bool IsNoCapacity(const HttpAnswer& answer) {
-  return answer.status == status::kServiceUnavailable &&
-         answer.body.find("no capacity") != std::string::npos;
+// The cloud answers an outage and a lack of machines with the same status; only
+// the text of the error differs.
+bool IsNoCapacity(const HttpResult& response) {
+  return response.status == status::kServiceUnavailable &&
+         response.body.find("no capacity") != std::string::npos;
 }
 
-// Guards against a process that stood still between deciding and sending: by
-// now another leader may act on the same machines. The clock is read right
-// before sending; what a stop between the two does is in docs/design.md, "Late
-// actions".
-bool IsTooLate(double not_after) {
+// True if the deadline of an action has passed. A process that was suspended
+// between the decision and the request must not send it any more, since another
+// leader may manage the machines by now. The clock is read immediately before
+// sending; docs/design.md, "Late actions", covers a suspension between the two.
+bool IsPastDeadline(double not_after) {
   const double now = std::chrono::duration<double>(
                          std::chrono::steady_clock::now().time_since_epoch())
                          .count();
   return now > not_after;
 }
 
-// The result of an action that was not sent.
-CloudResult RefusedAsTooLate(uint64_t id) {
+// The result of an action that was not sent because its deadline has passed.
+CloudResult MakeTooLateResult(uint64_t id) {
   CloudResult result;
   result.id = id;
   result.outcome = Outcome::kRefused;
@@ -58,13 +58,13 @@
 CloudClient::CloudClient(const std::string& address, double timeout_s)
     : http_(address, timeout_s) {}
 
-CloudResult CloudClient::GetCatalog(const FetchCatalog& catalog) {
+CloudResult CloudClient::GetCatalog(const FetchCatalog& fetch) {
   CloudResult result;
-  result.id = catalog.id;
-  const HttpAnswer answer = http_.Get(path::kCatalog);
-  result.outcome = OutcomeOfAnswer(answer);
+  result.id = fetch.id;
+  const HttpResult response = http_.Get(path::kCatalog);
+  result.outcome = DetermineOutcome(response);
   if (result.outcome != Outcome::kOk) return result;
-  if (auto types = protocol::ParseCatalog(answer.body))
+  if (auto types = protocol::ParseCatalog(response.body))
     result.types = std::move(*types);
   else
     result.outcome = Outcome::kUnknown;
@@ -72,15 +72,16 @@
 }
 
 CloudResult CloudClient::Provision(const ProvisionMachines& provision) {
-  if (IsTooLate(provision.not_after)) return RefusedAsTooLate(provision.id);
+  if (IsPastDeadline(provision.not_after))
+    return MakeTooLateResult(provision.id);
   CloudResult result;
   result.id = provision.id;
-  const HttpAnswer answer = http_.Post(
+  const HttpResult response = http_.Post(
       path::kMachines, protocol::EncodeProvisionRequest(provision.rent));
-  result.outcome = OutcomeOfAnswer(answer);
-  result.no_capacity = IsNoCapacity(answer);
+  result.outcome = DetermineOutcome(response);
+  result.no_capacity = IsNoCapacity(response);
   if (result.outcome != Outcome::kOk) return result;
-  if (auto machines = protocol::ParseMachineNames(answer.body))
+  if (auto machines = protocol::ParseMachineNames(response.body))
     result.machines = std::move(*machines);
   else
     result.outcome = Outcome::kUnknown;
@@ -88,12 +89,12 @@
 }
 
 CloudResult CloudClient::Release(const ReleaseMachines& release) {
-  if (IsTooLate(release.not_after)) return RefusedAsTooLate(release.id);
+  if (IsPastDeadline(release.not_after)) return MakeTooLateResult(release.id);
   CloudResult result;
   result.id = release.id;
-  const HttpAnswer answer = http_.Post(
+  const HttpResult response = http_.Post(
       path::kReleaseMachines, protocol::EncodeReleaseRequest(release.machines));
-  result.outcome = OutcomeOfAnswer(answer);
+  result.outcome = DetermineOutcome(response);
   if (result.outcome == Outcome::kOk) result.machines = release.machines;
   return result;
 }
@@ -101,13 +102,13 @@
 CloudResult CloudClient::ListMachines(const ListCloudMachines& list) {
   CloudResult result;
   result.id = list.id;
-  std::string after;
+  std::string last_machine;
   for (bool has_more = true; has_more;) {
-    const HttpAnswer answer =
-        http_.Get(protocol::MachinePageTarget(after, kInventoryPageSize));
-    result.outcome = OutcomeOfAnswer(answer);
+    const HttpResult response = http_.Get(
+        protocol::MachinePageTarget(last_machine, kInventoryPageSize));
+    result.outcome = DetermineOutcome(response);
     if (result.outcome != Outcome::kOk) return result;
-    auto page = protocol::ParseMachinePage(answer.body);
+    auto page = protocol::ParseMachinePage(response.body);
     if (!page) {
       result.outcome = Outcome::kUnknown;
       return result;
@@ -115,7 +116,7 @@
     if (page->machines.empty()) break;
     std::move(page->machines.begin(), page->machines.end(),
               std::back_inserter(result.listed));
-    after = result.listed.back().name;
+    last_machine = result.listed.back().name;
     has_more = page->has_more;
     if (has_more)
       std::this_thread::sleep_for(
--- a/src/cloud/cloud_client.h
+++ b/src/cloud/cloud_client.h
@@ -1,4 +1,4 @@
-// Blocking client of the cloud ("Controller nodes -> cloud" in the protocol).
+// A blocking client of the cloud ("Controller nodes -> cloud" in the protocol).
 #pragma once
 
 #include <string>
@@ -8,26 +8,28 @@
 
 namespace sorrelwood {
 
-// Sends one request at a time over one connection. Not shared between threads.
+// Sends one request at a time over one connection. Not thread-safe.
 //
-// The result's outcome tells whether the request was carried out; kUnknown
-// stands for no answer and for one that can't be read. Only with kOk do the
-// machines and types in the result count.
+// The result's outcome says whether the cloud has executed the request;
+// kUnknown means no response or an invalid one. The machines and types in the
+// result are only valid with kOk.
 class CloudClient {
  public:
-  // `address` is "IP:port"; an answer that takes longer than `timeout_s`
-  // seconds is dropped.
+  // `address` is "IP:port". A request without a response within `timeout_s`
+  // seconds fails.
   CloudClient(const std::string& address, double timeout_s);
 
-  // Reads the machine types on offer.
-  CloudResult GetCatalog(const FetchCatalog& catalog);
-  // Asks for machines. The result names them, or tells that there are none to
-  // be had. Refused without a request once the action's time has passed.
+  // Reads the machine types that the cloud offers.
+  CloudResult GetCatalog(const FetchCatalog& fetch);
+  // Provisions machines. The result contains their names, or `no_capacity` if
+  // the cloud has none. Refused without a request if the action's deadline,
+  // `not_after`, has passed.
   CloudResult Provision(const ProvisionMachines& provision);
-  // Gives machines back. Refused without a request once the action's time has
-  // passed.
+  // Releases machines. Refused without a request if the action's deadline,
+  // `not_after`, has passed.
   CloudResult Release(const ReleaseMachines& release);
-  // Reads the inventory, page by page, with the action's pause between two.
+  // Reads the inventory page by page, pausing `list.page_pause_s` between two
+  // pages.
   CloudResult ListMachines(const ListCloudMachines& list);
 
  private:
--- a/src/concurrency/blocking_queue.h
+++ b/src/concurrency/blocking_queue.h
@@ -1,4 +1,4 @@
-// A queue between threads, on which the reader waits.
+// A thread-safe queue whose readers wait for items.
 #pragma once
 
 #include <condition_variable>
@@ -8,21 +8,21 @@
 
 namespace sorrelwood {
 
-// Has no limit of its own: what is pushed is bounded by what the core has under
-// way.
+// Has no size limit: the core bounds its requests in flight, and so the items
+// in the queue.
 template <typename Item>
 class BlockingQueue {
  public:
   void Push(Item item) {
     std::lock_guard lock(mutex_);
     items_.push_back(std::move(item));
-    ready_.notify_one();
+    item_pushed_.notify_one();
   }
 
-  // The oldest item; waits for one.
+  // Removes and returns the oldest item; waits until there is one.
   Item Pop() {
     std::unique_lock lock(mutex_);
-    ready_.wait(lock, [this] { return !items_.empty(); });
+    item_pushed_.wait(lock, [this] { return !items_.empty(); });
     Item item = std::move(items_.front());
     items_.pop_front();
     return item;
@@ -30,7 +30,7 @@
 
  private:
   std::mutex mutex_;
-  std::condition_variable ready_;
+  std::condition_variable item_pushed_;
   std::deque<Item> items_;
 };
 
--- a/src/concurrency/threads.h
+++ b/src/concurrency/threads.h
@@ -1,4 +1,5 @@
-// Detached threads with small stacks. Their owner must live until they end.
+// Starts detached threads with small stacks. The objects that they use must
+// outlive them.
 #pragma once
 
 #include <pthread.h>
@@ -12,15 +13,17 @@
 
 namespace sorrelwood {
 
-// Runs `work` in a thread called `name` (15 characters at most). False when the
-// system has no thread left; `work` is then not run.
+// Runs `work` on a new thread called `name`, at most 15 characters, which must
+// have static lifetime. Returns false without running `work` if the system
+// can't start a thread.
 inline bool StartThread(const char* name, std::function<void()> work,
                         size_t stack_bytes = kThreadStackBytes) {
-  struct Start {
+  struct ThreadArgument {
     const char* name;
     std::function<void()> work;
   };
-  auto start = std::make_unique<Start>(Start{name, std::move(work)});
+  auto thread_argument =
+      std::make_unique<ThreadArgument>(ThreadArgument{name, std::move(work)});
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
   pthread_attr_setstacksize(&attributes, stack_bytes);
@@ -29,17 +32,19 @@
   const int error = pthread_create(
       &thread, &attributes,
       [](void* argument) -> void* {
-        const std::unique_ptr<Start> owned(static_cast<Start*>(argument));
-        // By the thread itself: its handle is not valid once it has ended.
+        const std::unique_ptr<ThreadArgument> owned(
+            static_cast<ThreadArgument*>(argument));
+        // The thread sets its own name, since its handle becomes invalid as
+        // soon as it ends.
         pthread_setname_np(pthread_self(), owned->name);
         owned->work();
         return nullptr;
       },
-      start.get());
+      thread_argument.get());
   pthread_attr_destroy(&attributes);
   if (error != 0) return false;
-  // The thread owns it now.
-  (void)start.release();
+  // The thread owns the argument now.
+  (void)thread_argument.release();
   return true;
 }
 
--- a/src/core/controller/job_lifecycle.cc
+++ b/src/core/controller/job_lifecycle.cc
@@ -19,7 +19,7 @@
                                 {"image", job->spec().image},
                                 {"team", job->spec().team}});
   // With the next tick, not now: a failover brings hundreds of jobs at once.
-  rank_timer_.Trigger();
+  rank_timer_.MakeDue();
   completions_->Restore(job);
   if (job->progress.done.size() == job->spec().tasks)
     job_finisher_->Enqueue(id);
@@ -52,7 +52,7 @@
 }
 
 void JobLifecycle::RankQueue() {
-  if (rank_timer_.Due(context_->now)) jobs_->Rank(*settings_, context_->wall);
+  if (rank_timer_.RestartIfDue(context_->now)) jobs_->Rank(*settings_, context_->wall);
 }
 
 }  // namespace sorrelwood
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -96,7 +96,7 @@
     recovery_.RetryIfDue();
     return;
   }
-  if (health_timer_.Due(context_->now)) {
+  if (health_timer_.RestartIfDue(context_->now)) {
     health_monitor_.CheckMachines();
     // It may have resigned, and all that follows been forgotten.
     if (!election_->leading()) return;
@@ -109,31 +109,31 @@
   rebalancer_.Tick(election_->MayDispatch());
   PreemptForServices();
   job_lifecycle_.RankQueue();
-  if (context_->debug && team_usage_timer_.Due(context_->now))
+  if (context_->debug && team_usage_timer_.RestartIfDue(context_->now))
     statistics_.LogTeamUsage();
   PlacePending();
 }
 
 void LeaderRole::CommitResults() {
-  if (!commit_timer_.Due(context_->now)) return;
+  if (!commit_timer_.RestartIfDue(context_->now)) return;
   job_finisher_.CommitEnds();
   completions_.Write();
 }
 
 void LeaderRole::ApplyPolicies() {
-  if (!policy_timer_.Due(context_->now)) return;
+  if (!policy_timer_.RestartIfDue(context_->now)) return;
   waiting_.Tick();
   replicas_.LeaveDepartingMachines();
   if (election_->MayDispatch()) placement_.PreemptForGuarantees();
 }
 
 void LeaderRole::PreemptForServices() {
-  if (!preemption_timer_.Due(context_->now)) return;
+  if (!preemption_timer_.RestartIfDue(context_->now)) return;
   if (election_->MayDispatch()) preemption_.PreemptForServices();
 }
 
 void LeaderRole::PlacePending() {
-  if (!placement_timer_.Due(context_->now)) return;
+  if (!placement_timer_.RestartIfDue(context_->now)) return;
   unreconciled_.ReserveCapacityIn(&placement_);
   if (election_->MayDispatch()) placement_.RunPass(election_->term());
 }
--- a/src/core/controller/peer_status_exchange.h
+++ b/src/core/controller/peer_status_exchange.h
@@ -32,7 +32,7 @@
         incarnation_(incarnation) {}
 
   // Whether a message is to be sent now; the next one is due an interval later.
-  bool BroadcastDue() { return timer_.Due(context_->now); }
+  bool BroadcastDue() { return timer_.RestartIfDue(context_->now); }
   // Sends a message to all peers. `counts`: of all jobs, from the leader; empty
   // from other nodes.
   void Broadcast(const std::vector<JobCounts>& counts);
--- a/src/http/buffered_stream.cc
+++ b/src/http/buffered_stream.cc
@@ -13,7 +13,7 @@
 namespace sorrelwood {
 namespace {
 
-// Waits until the socket is ready for `events`; false after `timeout_s`.
+// Waits until the socket is ready for `events`; false on timeout.
 bool WaitForSocket(int socket, int16_t events, double timeout_s) {
   constexpr double kMillisecondsPerSecond = 1000;
   pollfd descriptor{socket, events, 0};
@@ -26,7 +26,8 @@
   }
 }
 
-bool MustRetry() { return errno == EAGAIN || errno == EINTR; }
+// True if the last call on a socket failed only for the moment.
+bool IsTransientError() { return errno == EAGAIN || errno == EINTR; }
 
 }  // namespace
 
@@ -34,32 +35,32 @@
   deadline_ = SteadyNow() + kRequestReadTimeoutS;
 }
 
-bool BufferedStream::Begin() {
+bool BufferedStream::ReceiveAvailable() {
   if (has_buffered()) return true;
   const ssize_t count = recv(socket_, buffer_, kBufferBytes, MSG_DONTWAIT);
   if (count <= 0) {
-    spurious_ = count < 0 && MustRetry();
+    woke_without_data_ = count < 0 && IsTransientError();
     return false;
   }
-  begin_ = 0;
-  end_ = static_cast<size_t>(count);
+  unread_begin_ = 0;
+  unread_end_ = static_cast<size_t>(count);
   return true;
 }
 
 bool BufferedStream::Flush() {
   RestartDeadline();
   size_t sent = 0;
-  while (sent < pending_.size()) {
+  while (sent < unsent_.size()) {
     const ssize_t count =
-        send(socket_, pending_.data() + sent, pending_.size() - sent,
+        send(socket_, unsent_.data() + sent, unsent_.size() - sent,
              MSG_NOSIGNAL | MSG_DONTWAIT);
     if (count > 0) {
       sent += static_cast<size_t>(count);
       continue;
     }
-    if (count == 0 || !MustRetry() || !is_writable()) return false;
+    if (count == 0 || !IsTransientError() || !is_writable()) return false;
   }
-  pending_.clear();
+  unsent_.clear();
   return true;
 }
 
@@ -76,19 +77,19 @@
   if (!has_buffered()) {
     const ssize_t received = Receive();
     if (received <= 0) return received;
-    begin_ = 0;
-    end_ = static_cast<size_t>(received);
+    unread_begin_ = 0;
+    unread_end_ = static_cast<size_t>(received);
   }
-  const size_t count = std::min(size, end_ - begin_);
-  memcpy(out, buffer_ + begin_, count);
-  begin_ += count;
+  const size_t count = std::min(size, unread_end_ - unread_begin_);
+  memcpy(out, buffer_ + unread_begin_, count);
+  unread_begin_ += count;
   return static_cast<ssize_t>(count);
 }
 
 ssize_t BufferedStream::write(const char* data, size_t size) {
-  // The library writes headers and body one after the other: they are gathered
-  // and leave in one packet by Flush.
-  pending_.append(data, size);
+  // The library writes headers and body separately. They are collected here, so
+  // that Flush can send them in one packet.
+  unsent_.append(data, size);
   return static_cast<ssize_t>(size);
 }
 
@@ -106,7 +107,7 @@
   for (;;) {
     const ssize_t count = recv(socket_, buffer_, kBufferBytes, MSG_DONTWAIT);
     if (count >= 0) return count;
-    if (!MustRetry()) return -1;
+    if (!IsTransientError()) return -1;
     if (!WaitForSocket(socket_, POLLIN, deadline_ - SteadyNow())) return -1;
   }
 }
--- a/src/http/buffered_stream.h
+++ b/src/http/buffered_stream.h
@@ -1,4 +1,4 @@
-// A non-blocking socket as a stream of cpp-httplib, with deadlines.
+// Adapts a non-blocking socket to a cpp-httplib stream with deadlines.
 #pragma once
 
 #include <httplib.h>
@@ -8,48 +8,53 @@
 namespace sorrelwood {
 
 // Reads through a small buffer, since the library reads headers byte by byte.
-// All of a request is read, and all of its response written, before a deadline:
-// guards against a client that sends a byte now and then holding a thread.
+// A whole request must be read, and its whole response written, before a
+// deadline, so that a client that sends single bytes slowly can't occupy a
+// thread.
 class BufferedStream : public httplib::Stream {
  public:
   // Does not own the socket.
   explicit BufferedStream(int socket) : socket_(socket) { RestartDeadline(); }
 
-  // A new request or response has the whole time again.
+  // Gives the next request or response the full time (kRequestReadTimeoutS).
   void RestartDeadline();
-  // Reads what has arrived; false when the client has closed the connection or
-  // there is nothing to read after all (see spurious).
-  bool Begin();
-  // Begin failed only because nothing had arrived.
-  bool spurious() const { return spurious_; }
-  // Sends what was written; false when the client did not take it in time.
+  // Receives the available bytes without waiting. False if the client has
+  // closed the connection or nothing has arrived (see woke_without_data).
+  bool ReceiveAvailable();
+  // True if ReceiveAvailable failed only because nothing had arrived; the
+  // connection is still open then.
+  bool woke_without_data() const { return woke_without_data_; }
+  // Sends the written bytes; false if the client did not accept them in time.
   bool Flush();
-  // More has arrived than was read.
-  bool has_buffered() const { return begin_ < end_; }
+  // True if received bytes have not been read yet.
+  bool has_buffered() const { return unread_begin_ < unread_end_; }
 
   // httplib::Stream
   bool is_readable() const override;
   bool is_writable() const override;
   ssize_t read(char* out, size_t size) override;
   ssize_t write(const char* data, size_t size) override;
-  // The addresses are not used by any handler.
+  // No handler uses the addresses, so both return an empty one.
   void get_remote_ip_and_port(std::string& ip, int& port) const override;
   void get_local_ip_and_port(std::string& ip, int& port) const override;
   socket_t socket() const override { return socket_; }
 
  private:
-  static constexpr size_t kBufferBytes = 2048;  // usual headers and body
+  // Holds the headers and body of a usual request.
+  static constexpr size_t kBufferBytes = 2048;
 
-  // Fills the buffer; the number of bytes, or below 1 at the end or on errors.
+  // Fills the buffer, waiting until the deadline. Returns the number of bytes,
+  // 0 if the client has closed the connection, or -1 on errors.
   ssize_t Receive();
 
   int socket_;
   double deadline_ = 0;  // steady clock, s
-  bool spurious_ = false;
+  bool woke_without_data_ = false;
   char buffer_[kBufferBytes];
-  size_t begin_ = 0;  // of the bytes in the buffer that are still to be read
-  size_t end_ = 0;
-  std::string pending_;  // written, not sent yet
+  // The range of received bytes in buffer_ that have not been read yet.
+  size_t unread_begin_ = 0;
+  size_t unread_end_ = 0;
+  std::string unsent_;  // written bytes that Flush sends
 };
 
 }  // namespace sorrelwood
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -9,18 +9,20 @@
 namespace sorrelwood {
 namespace {
 
-HttpAnswer Convert(httplib::Result result,
-                   std::unique_ptr<httplib::Client>* client) {
-  HttpAnswer answer;
-  if (result) {
-    answer.status = result->status;
-    answer.body = std::move(result->body);
-    return answer;
+// Converts the library's result, and closes the client's connection if the
+// request has failed.
+HttpResult ConvertResult(httplib::Result library_result,
+                         std::unique_ptr<httplib::Client>* client) {
+  HttpResult result;
+  if (library_result) {
+    result.status = library_result->status;
+    result.body = std::move(library_result->body);
+    return result;
   }
-  answer.not_sent = result.error() == httplib::Error::Connection ||
-                    result.error() == httplib::Error::ConnectionTimeout;
+  result.not_sent = library_result.error() == httplib::Error::Connection ||
+                    library_result.error() == httplib::Error::ConnectionTimeout;
   client->reset();
-  return answer;
+  return result;
 }
 
 }  // namespace
@@ -30,12 +32,12 @@
 
 HttpClient::~HttpClient() = default;
 
-httplib::Client& HttpClient::Connection() {
+httplib::Client& HttpClient::GetOrCreateClient() {
   if (!client_) {
     Endpoint endpoint;
     ParseEndpoint(address_, &endpoint);
     client_ = std::make_unique<httplib::Client>(endpoint.host, endpoint.port);
-    // A mapped address keeps the library from looking the name up.
+    // Mapping the address to itself prevents a name lookup in the library.
     client_->set_hostname_addr_map({{endpoint.host, endpoint.host}});
     const auto timeout =
         std::chrono::milliseconds(static_cast<int64_t>(timeout_s_ * 1000));
@@ -48,13 +50,14 @@
   return *client_;
 }
 
-HttpAnswer HttpClient::Get(const std::string& path) {
-  return Convert(Connection().Get(path.c_str()), &client_);
+HttpResult HttpClient::Get(const std::string& path) {
+  return ConvertResult(GetOrCreateClient().Get(path.c_str()), &client_);
 }
 
-HttpAnswer HttpClient::Post(const std::string& path, const std::string& body) {
-  return Convert(Connection().Post(path.c_str(), body, "application/json"),
-                 &client_);
+HttpResult HttpClient::Post(const std::string& path, const std::string& body) {
+  return ConvertResult(
+      GetOrCreateClient().Post(path.c_str(), body, "application/json"),
+      &client_);
 }
 
 }  // namespace sorrelwood
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,5 +1,6 @@
-// A blocking HTTP client that keeps one connection and drops it after any
-// failure, so that a late response is never taken for the next request's.
+// A blocking HTTP client that reuses one connection. It closes the connection
+// after any failure, so that a late response can't be mistaken for the response
+// to the next request.
 #pragma once
 
 #include <memory>
@@ -11,30 +12,31 @@
 
 namespace sorrelwood {
 
-struct HttpAnswer {
-  int status = 0;         // 0: no response
-  bool not_sent = false;  // with 0: certainly never reached the server
+struct HttpResult {
+  int status = 0;         // 0: no response was received
+  bool not_sent = false;  // no connection, so the server got no request
   std::string body;
 };
 
-// For one thread.
+// Not thread-safe.
 class HttpClient {
  public:
-  // `address` is "IP:port"; connecting, reading and writing may take
-  // `timeout_s` each.
+  // `address` is "IP:port". `timeout_s` applies to connecting, reading and
+  // writing separately.
   HttpClient(const std::string& address, double timeout_s);
   ~HttpClient();
 
-  HttpAnswer Get(const std::string& path);
-  // Sends a JSON body.
-  HttpAnswer Post(const std::string& path, const std::string& body);
+  HttpResult Get(const std::string& path);
+  // `body` is JSON.
+  HttpResult Post(const std::string& path, const std::string& body);
 
  private:
-  httplib::Client& Connection();
+  // Creates the client if there is none.
+  httplib::Client& GetOrCreateClient();
 
   std::string address_;
   double timeout_s_;
-  std::unique_ptr<httplib::Client> client_;  // null: not connected
+  std::unique_ptr<httplib::Client> client_;  // null after a failure
 };
 
 }  // namespace sorrelwood
--- a/src/http/connection_table.cc
+++ b/src/http/connection_table.cc
@@ -16,69 +16,71 @@
 }
 
 void ConnectionTable::Close(Connection* connection) {
-  if (connection->classified) --counts_[IndexOf(connection->kind)];
+  if (connection->is_classified)
+    --classified_counts_[IndexOf(connection->kind)];
   const int socket = connection->socket.get();
   ::shutdown(socket, SHUT_RDWR);
   connections_.erase(socket);
 }
 
-Connection* ConnectionTable::FindWaiting(int socket) {
+Connection* ConnectionTable::FindIdle(int socket) {
   auto found = connections_.find(socket);
-  if (found == connections_.end() || !found->second.waiting) return nullptr;
+  if (found == connections_.end() || !found->second.is_idle) return nullptr;
   return &found->second;
 }
 
-void ConnectionTable::StartWaiting(Connection* connection, double now) {
-  WaitingList& list = WaitingListOf(*connection);
+void ConnectionTable::MarkIdle(Connection* connection, double now) {
+  IdleList& list = FindIdleList(*connection);
   connection->idle_since = now;
-  connection->waiting = true;
-  connection->place = list.insert(list.end(), connection);
+  connection->is_idle = true;
+  connection->position_in_idle_list = list.insert(list.end(), connection);
 }
 
-void ConnectionTable::StopWaiting(Connection* connection) {
-  WaitingListOf(*connection).erase(connection->place);
-  connection->waiting = false;
+void ConnectionTable::MarkBusy(Connection* connection) {
+  FindIdleList(*connection).erase(connection->position_in_idle_list);
+  connection->is_idle = false;
 }
 
-bool ConnectionTable::MakeRoom(ClientKind kind, double now) {
-  const size_t& count = counts_[IndexOf(kind)];
+bool ConnectionTable::EnsureCapacity(ClientKind kind, double now) {
+  const size_t& count = classified_counts_[IndexOf(kind)];
   const size_t limit = MaxConnections(kind);
-  if (count >= limit && kind == ClientKind::kWorker) CloseStaleWorker(now);
+  if (count >= limit && kind == ClientKind::kWorker)
+    CloseLongestIdleWorker(now);
   return count < limit;
 }
 
 void ConnectionTable::Classify(Connection* connection, ClientKind kind) {
-  ++counts_[IndexOf(kind)];
-  connection->classified = true;
+  ++classified_counts_[IndexOf(kind)];
+  connection->is_classified = true;
   connection->kind = kind;
 }
 
 void ConnectionTable::CloseExpired(double now) {
-  const auto close_expired = [&](WaitingList& list) {
+  const auto close_expired = [&](IdleList& list) {
     while (!list.empty() &&
-           now - list.front()->idle_since > MaxIdleS(*list.front())) {
+           now - list.front()->idle_since > IdleTimeoutS(*list.front())) {
       Connection* connection = list.front();
-      StopWaiting(connection);
+      MarkBusy(connection);
       Close(connection);
     }
   };
-  close_expired(unclassified_);
-  for (WaitingList& list : waiting_) close_expired(list);
+  close_expired(idle_unclassified_);
+  for (IdleList& list : idle_classified_) close_expired(list);
 }
 
 void ConnectionTable::ShutDownAll() {
   for (auto& [socket, connection] : connections_) ::shutdown(socket, SHUT_RDWR);
 }
 
-ConnectionTable::WaitingList& ConnectionTable::WaitingListOf(
+ConnectionTable::IdleList& ConnectionTable::FindIdleList(
     const Connection& connection) {
-  return connection.classified ? waiting_[IndexOf(connection.kind)]
-                               : unclassified_;
+  return connection.is_classified ? idle_classified_[IndexOf(connection.kind)]
+                                  : idle_unclassified_;
 }
 
-double ConnectionTable::MaxIdleS(const Connection& connection) const {
-  if (!connection.classified) return kRequestReadTimeoutS;
-  return connection.kind == ClientKind::kWorker ? limits_.worker_idle_s
+double ConnectionTable::IdleTimeoutS(const Connection& connection) const {
+  if (!connection.is_classified) return kRequestReadTimeoutS;
+  return connection.kind == ClientKind::kWorker ? limits_.worker_idle_timeout_s
                                                 : kIdleConnectionTimeoutS;
 }
 
@@ -91,13 +93,13 @@
   return 0;
 }
 
-void ConnectionTable::CloseStaleWorker(double now) {
-  const WaitingList& workers = waiting_[IndexOf(ClientKind::kWorker)];
+void ConnectionTable::CloseLongestIdleWorker(double now) {
+  const IdleList& workers = idle_classified_[IndexOf(ClientKind::kWorker)];
   if (workers.empty()) return;
-  Connection* quietest = workers.front();
-  if (now - quietest->idle_since < limits_.worker_stale_s) return;
-  StopWaiting(quietest);
-  Close(quietest);
+  Connection* longest_idle = workers.front();
+  if (now - longest_idle->idle_since < limits_.worker_evictable_after_s) return;
+  MarkBusy(longest_idle);
+  Close(longest_idle);
 }
 
 }  // namespace sorrelwood
--- a/src/http/connection_table.h
+++ b/src/http/connection_table.h
@@ -1,6 +1,5 @@
-// The open connections of a server: how many each kind of client holds, and
-// which wait for their next request. Not synchronized; the server's mutex
-// protects it.
+// The open connections of a server: how many each kind of client has, and which
+// are idle. Not synchronized; the server's mutex protects it.
 #pragma once
 
 #include <list>
@@ -11,62 +10,65 @@
 
 namespace sorrelwood {
 
-// One connection. Between two requests it is a few bytes in a list; a thread
-// serves it only while a request is in hand.
+// One connection. It is idle between two requests, which costs only an entry in
+// a list; a thread serves it only while a request is in progress.
 struct Connection {
   FileDescriptor socket;
-  bool classified = false;  // its first request has told the kind of client
+  bool is_classified = false;  // `kind` is known from its first request
   ClientKind kind = ClientKind::kOther;
   bool close_after_response = false;
-  bool waiting = false;   // for its next request, in the list of its kind
-  double idle_since = 0;  // when it began to wait (steady clock, s)
-  std::list<Connection*>::iterator place;  // in that list, while it waits
+  bool is_idle = false;
+  // Valid while the connection is idle.
+  double idle_since = 0;  // steady clock, s
+  std::list<Connection*>::iterator position_in_idle_list;
 };
 
 class ConnectionTable {
  public:
   explicit ConnectionTable(const ConnectionLimits& limits) : limits_(limits) {}
 
-  // Takes over a socket that was accepted; null when all connections are in
-  // use: it is closed at once, so that a load balancer goes elsewhere.
+  // Takes over an accepted socket. Returns null if all connections are in use;
+  // the socket is then closed at once, so that a load balancer uses another
+  // controller.
   Connection* Open(FileDescriptor socket);
-  // Of a connection that does not wait.
+  // The connection must not be idle.
   void Close(Connection* connection);
-  // The connection with this socket if it waits for a request, or null.
-  Connection* FindWaiting(int socket);
+  // The idle connection with this socket, or null.
+  Connection* FindIdle(int socket);
 
-  // The time is that of the steady clock (s).
-  void StartWaiting(Connection* connection, double now);
-  void StopWaiting(Connection* connection);
+  // `now` is the time of the steady clock (s) in all functions.
+  void MarkIdle(Connection* connection, double now);
+  void MarkBusy(Connection* connection);
 
-  // False when all connections of `kind` are in use. Among workers one that has
-  // missed heartbeats makes room: guards against connections to a zone that was
-  // cut off shutting out its workers when they come back.
-  bool MakeRoom(ClientKind kind, double now);
-  // Counts the connection among those of `kind` from now on.
+  // Returns whether another connection of `kind` is allowed. For workers it
+  // closes the longest idle connection if necessary and if that one has missed
+  // heartbeats. Otherwise dead connections to a zone that was cut off would
+  // keep its workers out when the zone is reachable again.
+  bool EnsureCapacity(ClientKind kind, double now);
+  // Sets the connection's kind and counts it towards the limit of this kind.
   void Classify(Connection* connection, ClientKind kind);
-  // Closes connections that have waited too long.
+  // Closes connections that have been idle for too long.
   void CloseExpired(double now);
-  // Ends all traffic; the connections stay until CloseAll.
+  // Shuts down all sockets; the connections remain until CloseAll.
   void ShutDownAll();
   void CloseAll() { connections_.clear(); }
 
  private:
-  using WaitingList = std::list<Connection*>;
+  // Ordered by idle time, the longest first. All connections of a list have the
+  // same idle timeout.
+  using IdleList = std::list<Connection*>;
 
-  // The list it waits in; within one all may wait equally long.
-  WaitingList& WaitingListOf(const Connection& connection);
-  double MaxIdleS(const Connection& connection) const;
+  IdleList& FindIdleList(const Connection& connection);
+  double IdleTimeoutS(const Connection& connection) const;
   size_t MaxConnections(ClientKind kind) const;
-  void CloseStaleWorker(double now);
+  // Closes the workers' longest idle connection if it has missed heartbeats.
+  void CloseLongestIdleWorker(double now);
 
   ConnectionLimits limits_;
   std::unordered_map<int, Connection> connections_;  // by socket
-  PerClientKind<size_t> counts_{};                   // of those classified
-  // Waiting for a request, the longest first: clients that have not sent any
-  // yet, and the others.
-  WaitingList unclassified_;
-  PerClientKind<WaitingList> waiting_;
+  PerClientKind<size_t> classified_counts_{};
+  IdleList idle_unclassified_;  // no request received yet
+  PerClientKind<IdleList> idle_classified_;
 };
 
 }  // namespace sorrelwood
--- a/src/http/endpoint.cc
+++ b/src/http/endpoint.cc
@@ -14,8 +14,8 @@
   if (inet_pton(AF_INET, endpoint->host.c_str(), &address) != 1) return false;
   const char* begin = text.data() + colon + 1;
   const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(begin, end, endpoint->port);
-  return error == std::errc() && at == end && endpoint->port >= 0 &&
+  const auto [parsed_end, error] = std::from_chars(begin, end, endpoint->port);
+  return error == std::errc() && parsed_end == end && endpoint->port >= 0 &&
          endpoint->port <= 65535;
 }
 
--- a/src/http/endpoint.h
+++ b/src/http/endpoint.h
@@ -10,7 +10,8 @@
   int port = 0;
 };
 
-// False when `text` is not an IPv4 address and a port.
+// Parses an IPv4 address and a port from 0 to 65535. False if `text` is
+// anything else; `endpoint` is then partly set.
 bool ParseEndpoint(const std::string& text, Endpoint* endpoint);
 
 }  // namespace sorrelwood
--- a/src/http/file_descriptor.h
+++ b/src/http/file_descriptor.h
@@ -1,4 +1,4 @@
-// An owned file descriptor, closed at the end of its life.
+// Owns a file descriptor and closes it in the destructor.
 #pragma once
 
 #include <unistd.h>
@@ -25,7 +25,7 @@
   int get() const { return descriptor_; }
 
  private:
-  int descriptor_ = -1;
+  int descriptor_ = -1;  // -1: none
 };
 
 }  // namespace sorrelwood
--- a/src/http/poller.cc
+++ b/src/http/poller.cc
@@ -33,7 +33,7 @@
 }
 
 void Poller::Wake() {
-  // Readable from the start: it wakes the thread that waits.
+  // The event is readable from the start and never reset.
   wake_event_ = FileDescriptor(eventfd(1, EFD_CLOEXEC));
   epoll_event event{};
   event.events = EPOLLIN;
--- a/src/http/poller.h
+++ b/src/http/poller.h
@@ -1,5 +1,5 @@
-// Waits for many sockets at once (epoll). Any thread may add sockets while one
-// waits.
+// Waits for many sockets at once (epoll). Any thread may add sockets while
+// another one waits.
 #pragma once
 
 #include <vector>
@@ -10,15 +10,15 @@
 
 class Poller {
  public:
-  // False when the system has no descriptor left.
+  // False if the system has no file descriptor left.
   bool Open();
-  // Reports the socket once when it is readable; Rearm for the next time.
-  // False when the system refuses.
+  // Watches a socket. Wait returns it once when it is readable, and again only
+  // after Rearm. Both return false if the system refuses.
   bool Add(int socket);
   bool Rearm(int socket);
-  // Sockets that are readable; none when `timeout_s` has passed.
+  // Returns the readable sockets; none on timeout.
   std::vector<int> Wait(double timeout_s);
-  // Ends the present Wait and all later ones.
+  // Makes the current Wait and all later ones return at once.
   void Wake();
 
  private:
--- a/src/http/request_queue.cc
+++ b/src/http/request_queue.cc
@@ -24,42 +24,42 @@
 }
 
 Connection* RequestQueue::Pop() {
-  // Probes and first requests, whose sender is not known yet, come first;
-  // workers don't wait behind users.
+  // Probes and first requests, whose kind is not known yet, have precedence.
+  // Workers precede users, so that heartbeats don't wait for users' requests.
   for (const ClientKind kind :
        {ClientKind::kOther, ClientKind::kWorker, ClientKind::kUser}) {
     auto& queue = queued_[IndexOf(kind)];
-    if (queue.empty() || !HasThread(kind)) continue;
+    if (queue.empty() || !HasFreeThread(kind)) continue;
     Connection* connection = queue.front();
     queue.pop_front();
-    ++in_hand_[IndexOf(kind)];
+    ++in_progress_[IndexOf(kind)];
     return connection;
   }
   return nullptr;
 }
 
 void RequestQueue::Reclassify(ClientKind from, ClientKind to) {
-  --in_hand_[IndexOf(from)];
-  ++in_hand_[IndexOf(to)];
+  --in_progress_[IndexOf(from)];
+  ++in_progress_[IndexOf(to)];
 }
 
-bool RequestQueue::HasThread(ClientKind kind) const {
-  return in_hand_[IndexOf(kind)] < MaxThreads(kind);
+bool RequestQueue::HasFreeThread(ClientKind kind) const {
+  return in_progress_[IndexOf(kind)] < MaxThreads(kind);
 }
 
 size_t RequestQueue::size() const {
-  size_t size = 0;
-  for (const auto& queue : queued_) size += queue.size();
-  return size;
+  size_t total = 0;
+  for (const auto& queue : queued_) total += queue.size();
+  return total;
 }
 
 std::vector<Connection*> RequestQueue::TakeAll() {
-  std::vector<Connection*> all;
+  std::vector<Connection*> connections;
   for (auto& queue : queued_) {
-    all.insert(all.end(), queue.begin(), queue.end());
+    connections.insert(connections.end(), queue.begin(), queue.end());
     queue.clear();
   }
-  return all;
+  return connections;
 }
 
 size_t RequestQueue::MaxThreads(ClientKind kind) const {
--- a/src/http/request_queue.h
+++ b/src/http/request_queue.h
@@ -1,5 +1,6 @@
-// Connections with a request that no thread has taken yet, and how many threads
-// each kind of client uses. Not synchronized; the server's mutex protects it.
+// The connections whose request waits for a thread, and the number of threads
+// that each kind of client uses. Not synchronized; the server's mutex protects
+// it.
 #pragma once
 
 #include <deque>
@@ -9,28 +10,29 @@
 
 namespace sorrelwood {
 
-// Each kind has its share of the threads: guards against users who wait for the
-// state service, and clients that send half a request, taking the threads that
-// workers need.
+// Each kind of client has its own share of the threads. Otherwise users whose
+// requests wait for the state service, and clients that send only a part of a
+// request, could occupy the threads that workers need.
 class RequestQueue {
  public:
   explicit RequestQueue(size_t threads) : threads_(threads) {}
 
   void Push(Connection* connection);
-  // The next request of a kind that has a thread left, which is counted as used
-  // until Finish; null when there is none.
+  // Returns the next connection of a kind with a free thread and reserves this
+  // thread until ReleaseThread; null if there is none.
   Connection* Pop();
-  void Finish(ClientKind kind) { --in_hand_[IndexOf(kind)]; }
-  // A request in hand turns out to be of another kind.
+  void ReleaseThread(ClientKind kind) { --in_progress_[IndexOf(kind)]; }
+  // Counts a request in progress towards another kind's threads.
   void Reclassify(ClientKind from, ClientKind to);
-  // False when all threads of the kind are in use.
-  bool HasThread(ClientKind kind) const;
+  // False if all threads of the kind are in use.
+  bool HasFreeThread(ClientKind kind) const;
 
   bool HasQueued(ClientKind kind) const {
     return !queued_[IndexOf(kind)].empty();
   }
+  // Queued connections of all kinds.
   size_t size() const;
-  // Empties the queue.
+  // Removes all queued connections and returns them.
   std::vector<Connection*> TakeAll();
 
  private:
@@ -38,7 +40,7 @@
 
   const size_t threads_;
   PerClientKind<std::deque<Connection*>> queued_;
-  PerClientKind<size_t> in_hand_{};
+  PerClientKind<size_t> in_progress_{};  // requests that a thread serves
 };
 
 }  // namespace sorrelwood
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -24,13 +24,13 @@
 
 constexpr char kJsonType[] = "application/json";
 
-// The connection whose request this thread has in hand: the library's handlers
-// are told the request alone.
+// The connection that this thread serves. The library passes its handlers only
+// the request.
 thread_local Connection* current_connection = nullptr;
 
-// The library's accepting thread calls `work` itself: all it does is to hand
-// the socket over.
-class AcceptingThread : public httplib::TaskQueue {
+// Runs the library's tasks on its accepting thread: they only hand the accepted
+// socket over (see process_and_close_socket), so they need no other thread.
+class InlineTaskQueue : public httplib::TaskQueue {
  public:
   void enqueue(std::function<void()> work) override { work(); }
   void shutdown() override {}
@@ -41,20 +41,21 @@
                         kJsonType);
 }
 
-void Refuse(httplib::Response* response) {
+// Tells a client for which there is no connection or thread to retry.
+void RefuseConnection(httplib::Response* response) {
   response->status = 503;
   response->set_header("Retry-After", "1");
   response->set_header("Connection", "close");
   SetError(response, "too many connections");
 }
 
-void Convert(const HttpReply& reply, httplib::Response* response) {
-  response->status = reply.status;
-  if (reply.retry_after_s > 0) {
-    const double seconds = std::max(1.0, std::ceil(reply.retry_after_s));
+void CopyResponse(const HttpResponse& source, httplib::Response* response) {
+  response->status = source.status;
+  if (source.retry_after_s > 0) {
+    const double seconds = std::max(1.0, std::ceil(source.retry_after_s));
     response->set_header("Retry-After", std::to_string(std::lround(seconds)));
   }
-  response->set_content(reply.body, reply.content_type.c_str());
+  response->set_content(source.body, source.content_type.c_str());
 }
 
 httplib::Server::HandlerResponse CheckMethod(const httplib::Request& request,
@@ -67,7 +68,8 @@
   return httplib::Server::HandlerResponse::Handled;
 }
 
-// Gives the errors that the library finds itself a body.
+// Adds a body to errors that the library itself detects. A body that is too
+// large is answered 400 instead of the library's 413.
 void DescribeError(const httplib::Request&, httplib::Response& response) {
   if (!response.body.empty()) return;
   if (response.status == 413) {
@@ -102,7 +104,8 @@
     } else if (!bind_to_port(endpoint_.host, port_, AI_NUMERICHOST)) {
       return false;
     }
-    // The library listens with a backlog of 5; a second call lengthens it.
+    // The library listens with a backlog of 5; the second call of listen
+    // increases it.
     const int backlog = kMinListenBacklog + static_cast<int>(limits_.workers) /
                                                 kWorkersPerBacklogEntry;
     return ::listen(svr_sock_, backlog) == 0;
@@ -118,7 +121,7 @@
     }
     listen_after_bind();
     std::unique_lock lock(mutex_);
-    all_threads_ended_.wait(lock, [this] { return threads_ == 0; });
+    all_threads_ended_.wait(lock, [this] { return running_threads_ == 0; });
     connections_.CloseAll();
   }
 
@@ -133,7 +136,7 @@
 
  private:
   void ConfigureLibrary() {
-    new_task_queue = [] { return new AcceptingThread; };
+    new_task_queue = [] { return new InlineTaskQueue; };
     set_payload_max_length(kMaxBodyBytes);
     set_socket_options([](socket_t socket) {
       const int on = 1;
@@ -144,9 +147,9 @@
                                 httplib::Response& response) {
       Respond(request, &response);
     };
-    // The real path is kept in `target` (see ServeConnection): the library
-    // matches paths by a recursive regular expression, which a long one would
-    // overflow.
+    // All requests arrive with the path "/"; ServeConnection keeps the real one
+    // in `target`. The library matches paths with a recursive regular
+    // expression, which overflows the stack on long paths.
     Get("/", respond);
     Post("/", respond);
     set_error_handler(DescribeError);
@@ -158,29 +161,30 @@
     converted.path = request.target.substr(0, request.target.find('?'));
     converted.body = request.body;
     Connection* connection = current_connection;
-    if (!connection->classified &&
+    if (!connection->is_classified &&
         !Admit(connection, classify_(converted.path))) {
       connection->close_after_response = true;
-      Refuse(response);
+      RefuseConnection(response);
       return;
     }
-    Convert(handler_(converted), response);
+    CopyResponse(handler_(converted), response);
   }
 
-  // The first request of a connection tells the kind of client. False when its
-  // kind has no connection or no thread left.
+  // Classifies a connection by its first request. False if no connection or no
+  // thread is left for clients of its kind.
   bool Admit(Connection* connection, ClientKind kind) {
     std::lock_guard lock(mutex_);
-    if (!connections_.MakeRoom(kind, SteadyNow())) return false;
-    if (kind != ClientKind::kOther && !requests_.HasThread(kind)) return false;
+    if (!connections_.EnsureCapacity(kind, SteadyNow())) return false;
+    if (kind != ClientKind::kOther && !requests_.HasFreeThread(kind))
+      return false;
     requests_.Reclassify(connection->kind, kind);
     connections_.Classify(connection, kind);
-    // Its thread among those of unclassified clients is free for the next.
-    if (requests_.HasQueued(ClientKind::kOther)) WakeThread();
+    // This freed a thread of kOther for the next queued request of this kind.
+    if (requests_.HasQueued(ClientKind::kOther)) WakeOrStartThread();
     return true;
   }
 
-  // Called by the library with a socket that was accepted.
+  // The library calls this with an accepted socket.
   bool process_and_close_socket(socket_t accepted) override {
     FileDescriptor socket(accepted);
     const int on = 1;
@@ -190,14 +194,14 @@
     Connection* connection = connections_.Open(std::move(socket));
     if (!connection) return true;
     if (poller_.Add(accepted))
-      connections_.StartWaiting(connection, SteadyNow());
+      connections_.MarkIdle(connection, SteadyNow());
     else
       connections_.Close(connection);
     return true;
   }
 
-  // One thread waits for the next requests of all connections, and hands those
-  // that have one to the threads that read and answer.
+  // Runs on one thread, which waits for the next request of every idle
+  // connection and queues it for the threads that read and answer requests.
   void PollConnections() {
     double next_idle_check = SteadyNow() + kRequestReadTimeoutS;
     for (;;) {
@@ -215,43 +219,44 @@
   }
 
   void QueueRequest(int socket) {
-    // The event may be of an earlier connection with this number: a new one is
-    // then looked at in vain, and one that is in hand is left alone.
-    Connection* connection = connections_.FindWaiting(socket);
+    // The event may belong to a closed connection whose descriptor number has
+    // been reused. If the new connection is idle, its thread finds no data;
+    // otherwise the event is ignored.
+    Connection* connection = connections_.FindIdle(socket);
     if (!connection) return;
-    connections_.StopWaiting(connection);
+    connections_.MarkBusy(connection);
     requests_.Push(connection);
-    WakeThread();
+    WakeOrStartThread();
   }
 
-  // Finds a thread for one more request, or starts one. Where none can be had,
-  // those that there are get to it; where there are none, nobody does, and the
-  // connections are closed. The mutex is held.
-  void WakeThread() {
-    // Also where more is queued than they can take: what fills the queue may be
-    // of a kind whose share is in use, and this of another.
+  // Wakes an idle thread for a newly queued request, or starts one. If none can
+  // be started, the request waits for a running thread; without any running
+  // thread all queued connections are closed. The mutex must be held.
+  void WakeOrStartThread() {
+    // Wakes one even if more requests are queued than threads are idle: the
+    // others may be of a kind whose share of threads is in use.
     if (idle_threads_ > 0) request_queued_.notify_one();
     if (requests_.size() <= idle_threads_) return;
-    // One thread more than the limit: that of PollConnections.
-    if (threads_ <= limits_.threads &&
+    // The thread of PollConnections does not count towards the limit.
+    if (running_threads_ <= limits_.threads &&
         StartServerThread("http", [this] { AnswerRequests(); }))
       return;
-    if (threads_ > 1) return;
+    if (running_threads_ > 1) return;
     for (Connection* connection : requests_.TakeAll())
       connections_.Close(connection);
   }
 
-  // The mutex is held.
+  // The mutex must be held.
   bool StartServerThread(const char* name, std::function<void()> work) {
     const bool started =
         StartThread(name, std::move(work), kConnectionThreadStackBytes);
-    if (started) ++threads_;
+    if (started) ++running_threads_;
     return started;
   }
 
-  // The last thing that a thread does; the mutex is held.
+  // Must be the last call of a server thread, with the mutex held.
   void EndServerThread() {
-    if (--threads_ == 0) all_threads_ended_.notify_all();
+    if (--running_threads_ == 0) all_threads_ended_.notify_all();
   }
 
   void AnswerRequests() {
@@ -267,7 +272,7 @@
       lock.unlock();
       const bool keep_open = ServeConnection(connection);
       lock.lock();
-      requests_.Finish(connection->kind);
+      requests_.ReleaseThread(connection->kind);
       if (keep_open && !stopping_)
         WaitForNextRequest(connection);
       else
@@ -276,19 +281,20 @@
     EndServerThread();
   }
 
-  // The mutex is held, so that the event is not looked at before the connection
-  // waits.
+  // The mutex must be held, so that the poll thread does not handle an event
+  // before the connection is marked idle.
   void WaitForNextRequest(Connection* connection) {
     if (poller_.Rearm(connection->socket.get()))
-      connections_.StartWaiting(connection, SteadyNow());
+      connections_.MarkIdle(connection, SteadyNow());
     else
       connections_.Close(connection);
   }
 
-  // Answers what has been asked on the connection; whether it stays open.
+  // Answers the requests that have arrived on the connection. Returns whether
+  // it stays open.
   bool ServeConnection(Connection* connection) {
     BufferedStream stream(connection->socket.get());
-    if (!stream.Begin()) return stream.spurious();
+    if (!stream.ReceiveAvailable()) return stream.woke_without_data();
     current_connection = connection;
     bool closed = false;
     do {
@@ -314,12 +320,12 @@
   int port_ = 0;
   Poller poller_;
 
-  std::mutex mutex_;  // of all that follows
+  std::mutex mutex_;  // guards all members below
   std::condition_variable request_queued_, all_threads_ended_;
   bool stopping_ = false;
   ConnectionTable connections_;
   RequestQueue requests_;
-  size_t threads_ = 0;
+  size_t running_threads_ = 0;  // with that of PollConnections
   size_t idle_threads_ = 0;
 };
 
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -1,7 +1,8 @@
-// cpp-httplib's server with its own connection loop. One thread polls all idle
-// connections; a bounded number of threads with small stacks reads and answers
-// requests, one at a time each. So sockets bound the connections, and threads
-// are bounded by the requests in hand.
+// The server of cpp-httplib with its own connection handling. One thread polls
+// all idle connections; a bounded number of threads with small stacks reads and
+// answers requests, each one request at a time. So idle connections need no
+// thread: only the socket limit bounds them, and the number of threads depends
+// on the concurrent requests.
 #pragma once
 
 #include <functional>
@@ -19,15 +20,15 @@
   std::string body;
 };
 
-struct HttpReply {
+struct HttpResponse {
   int status = 200;
   std::string body;
   std::string content_type = "application/json";
-  double retry_after_s = 0;  // rounded up to seconds; 0: no such header
+  double retry_after_s = 0;  // rounded up to whole seconds; 0: no header
 };
 
 // Called by several threads at once; may block.
-using HttpHandler = std::function<HttpReply(const HttpRequest&)>;
+using HttpHandler = std::function<HttpResponse(const HttpRequest&)>;
 
 class HttpServer {
  public:
@@ -35,13 +36,13 @@
              ClientClassifier classify, HttpHandler handler);
   ~HttpServer();
 
-  // False when the address can't be had.
+  // False if the address can't be listened on.
   bool Bind();
-  // Serves until Stop; all threads of the server have ended when it returns.
+  // Serves until Stop. All threads of the server have ended when it returns.
   void Serve();
-  // May be called by any thread, once.
+  // May be called once, by any thread.
   void Stop();
-  // The port that was bound; of use when the endpoint's is 0.
+  // The bound port; the system chooses it if the endpoint's port is 0.
   int port() const;
 
  private:
--- a/src/main.cc
+++ b/src/main.cc
@@ -1,4 +1,5 @@
-// The sorrelwood process: reads its options and settings and runs a controller.
+// The main program: reads the command line and the settings files and runs a
+// controller.
 #include <malloc.h>
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -23,46 +24,47 @@
 // The exit codes of the process.
 constexpr int kExitOk = 0;
 constexpr int kExitCannotListen = 1;  // can't listen on an address
-constexpr int kExitBadSettings = 2;   // options or settings can't be used
+constexpr int kExitBadSettings = 2;   // invalid options or settings
 
 struct Options {
-  std::string cluster_settings;   // path
-  std::string operator_settings;  // path; empty: the defaults
+  std::string cluster_settings_path;
+  std::string operator_settings_path;  // empty: default settings
   bool check_only = false;
 };
 
-// False when LOG_LEVEL names no level: then it is `info`.
-bool StartLog() {
+// Sets up the log on stderr. Returns false and uses `info` if LOG_LEVEL is not
+// a valid level.
+bool ConfigureLog() {
   auto logger = spdlog::stderr_logger_mt("sorrelwood");
   logger->set_pattern("%Y-%m-%dT%H:%M:%S.%e %l %v");
   spdlog::set_default_logger(logger);
-  const char* level = std::getenv("LOG_LEVEL");
-  const std::string name = level ? level : "info";
-  if (name == "error")
+  const char* value = std::getenv("LOG_LEVEL");
+  const std::string level = value ? value : "info";
+  if (level == "error")
     spdlog::set_level(spdlog::level::err);
-  else if (name == "info")
+  else if (level == "info")
     spdlog::set_level(spdlog::level::info);
-  else if (name == "debug")
+  else if (level == "debug")
     spdlog::set_level(spdlog::level::debug);
   else
     return false;
   return true;
 }
 
-// Differs between processes of one node.
+// A random number, so that each process of the same node has a different one.
 uint64_t NewIncarnation() {
   std::random_device device;
   return (static_cast<uint64_t>(device()) << 32) | device();
 }
 
-// Reads the command line; an exit code instead when the process is to end.
+// Parses the command line. Returns an exit code if the process should exit.
 tl::expected<Options, int> ParseOptions(int argc, char** argv) {
   Options options;
   CLI::App cli("sorrelwood: a cluster scheduler for rented machines");
-  cli.add_option("--config", options.cluster_settings,
+  cli.add_option("--config", options.cluster_settings_path,
                  "settings file of the platform (JSON)")
       ->required();
-  cli.add_option("--operator-config", options.operator_settings,
+  cli.add_option("--operator-config", options.operator_settings_path,
                  "the operators' own settings (protobuf text format)");
   cli.add_flag("--check", options.check_only,
                "read the settings, say what is wrong, exit");
@@ -76,11 +78,12 @@
   return options;
 }
 
-SettingsResult<PolicySettings> LoadPolicy(const Options& options) {
-  if (options.operator_settings.empty()) return PolicySettings();
-  return LoadOperatorSettings(options.operator_settings);
+SettingsResult<PolicySettings> LoadPolicyOrDefaults(const Options& options) {
+  if (options.operator_settings_path.empty()) return PolicySettings();
+  return LoadOperatorSettings(options.operator_settings_path);
 }
 
+// Prints the error and returns the exit code.
 int RejectSettings(const SettingsError& error) {
   std::cerr << "sorrelwood: " << error.Message() << "\n";
   return kExitBadSettings;
@@ -88,23 +91,24 @@
 
 int Main(int argc, char** argv) {
   mallopt(M_ARENA_MAX, kMallocArenas);
-  // A peer that closes its connection must not end the process.
+  // Writing to a connection that the other side has closed must not kill the
+  // process.
   signal(SIGPIPE, SIG_IGN);
 
   const auto options = ParseOptions(argc, argv);
   if (!options) return options.error();
-  const auto settings = LoadClusterSettings(options->cluster_settings);
+  const auto settings = LoadClusterSettings(options->cluster_settings_path);
   if (!settings) return RejectSettings(settings.error());
-  const auto policy = LoadPolicy(*options);
+  const auto policy = LoadPolicyOrDefaults(*options);
   if (!policy) return RejectSettings(policy.error());
   if (options->check_only) {
     std::cout << "the settings are good\n";
     return kExitOk;
   }
-  if (!StartLog())
-    spdlog::error("LOG_LEVEL must be error, info or debug: it is info now");
+  if (!ConfigureLog())
+    spdlog::error("LOG_LEVEL must be error, info or debug; using info");
   for (const std::string& ignored : settings->ignored_objectives)
-    spdlog::error("left out of the settings: {}", ignored);
+    spdlog::error("ignoring an invalid objective in the settings: {}", ignored);
   ControllerServer server(*settings, *policy, NewIncarnation());
   return server.Run() ? kExitOk : kExitCannotListen;
 }
--- a/src/peer/peer_connection.cc
+++ b/src/peer/peer_connection.cc
@@ -21,16 +21,16 @@
 namespace sorrelwood {
 namespace {
 
-// A message with counts of a few thousand jobs stays far below this.
+// Far more than a message with the counts of a few thousand jobs.
 constexpr uint32_t kMaxMessageBytes = 1 << 20;
 constexpr int kSendTimeoutMs = 1500;
-// A peer that says nothing for this long has gone (it sends every second).
+// Peers send about once a second, so one that is silent for this long is gone.
 constexpr int kReceiveTimeoutMs = 15000;
-// Before the next try when a connection can't be accepted.
-constexpr std::chrono::milliseconds kAcceptRetryPause{100};
+// Pause before the next call of accept after a failed one.
+constexpr std::chrono::milliseconds kAcceptRetryPauseMs{100};
 
-// False if `text` is not an IPv4 address and a port.
-bool SetAddress(const std::string& text, sockaddr_in* address) {
+// Parses "IP:port"; false if `text` is not an IPv4 address and a port.
+bool ParseSocketAddress(const std::string& text, sockaddr_in* address) {
   Endpoint endpoint;
   if (!ParseEndpoint(text, &endpoint)) return false;
   std::memset(address, 0, sizeof(*address));
@@ -39,20 +39,21 @@
   return inet_pton(AF_INET, endpoint.host.c_str(), &address->sin_addr) == 1;
 }
 
-// False if none of `events` has come within the time.
-bool WaitFor(int socket, int16_t events, int timeout_ms) {
-  pollfd waiting{socket, events, 0};
+// Waits until the socket is ready for `events`; false on timeout.
+bool WaitForSocket(int socket, int16_t events, int timeout_ms) {
+  pollfd descriptor{socket, events, 0};
   int ready;
   do {
-    ready = poll(&waiting, 1, timeout_ms);
+    ready = poll(&descriptor, 1, timeout_ms);
   } while (ready < 0 && errno == EINTR);
   return ready > 0;
 }
 
-// False if the peer closes the connection or is silent for too long.
+// Fills `out`. False if the peer closes the connection or sends nothing for
+// kReceiveTimeoutMs.
 bool ReadAll(int socket, char* out, size_t size) {
   while (size > 0) {
-    if (!WaitFor(socket, POLLIN, kReceiveTimeoutMs)) return false;
+    if (!WaitForSocket(socket, POLLIN, kReceiveTimeoutMs)) return false;
     const ssize_t received = recv(socket, out, size, 0);
     if (received < 0 && errno == EINTR) continue;
     if (received <= 0) return false;
@@ -62,10 +63,11 @@
   return true;
 }
 
-// False if the connection is broken or takes nothing for too long.
+// Sends all of `data`. False if the connection fails or the peer accepts
+// nothing for kSendTimeoutMs.
 bool WriteAll(int socket, const char* data, size_t size) {
   while (size > 0) {
-    if (!WaitFor(socket, POLLOUT, kSendTimeoutMs)) return false;
+    if (!WaitForSocket(socket, POLLOUT, kSendTimeoutMs)) return false;
     const ssize_t sent = send(socket, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0 && (errno == EINTR || errno == EAGAIN)) continue;
     if (sent <= 0) return false;
@@ -75,10 +77,11 @@
   return true;
 }
 
-// Returns a blocking socket, or -1 if the peer can't be reached in time.
-int Connect(const std::string& text) {
+// Returns a blocking socket, or -1 if the peer can't be reached within
+// kSendTimeoutMs.
+int Connect(const std::string& peer_address) {
   sockaddr_in address;
-  if (!SetAddress(text, &address)) return -1;
+  if (!ParseSocketAddress(peer_address, &address)) return -1;
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (socket < 0) return -1;
   const int flags = fcntl(socket, F_GETFL);
@@ -86,7 +89,7 @@
   int result =
       connect(socket, reinterpret_cast<sockaddr*>(&address), sizeof(address));
   if (result != 0 && errno == EINPROGRESS &&
-      WaitFor(socket, POLLOUT, kSendTimeoutMs)) {
+      WaitForSocket(socket, POLLOUT, kSendTimeoutMs)) {
     int error = 0;
     socklen_t length = sizeof(error);
     getsockopt(socket, SOL_SOCKET, SO_ERROR, &error, &length);
@@ -106,7 +109,7 @@
 
 bool PeerListener::Bind() {
   sockaddr_in address;
-  if (!SetAddress(address_, &address)) return false;
+  if (!ParseSocketAddress(address_, &address)) return false;
   socket_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (socket_ < 0) return false;
   const int on = 1;
@@ -125,16 +128,17 @@
     const int socket = accept4(socket_, nullptr, nullptr, SOCK_CLOEXEC);
     if (socket < 0) {
       if (errno == EBADF || errno == EINVAL) return;
-      std::this_thread::sleep_for(kAcceptRetryPause);
+      std::this_thread::sleep_for(kAcceptRetryPauseMs);
       continue;
     }
-    // Without a thread for it the peer is told so, and tries again.
-    if (!StartThread("peer-receive", [this, socket] { Serve(socket); }))
+    // Closing the connection makes the peer connect again later.
+    if (!StartThread("peer-receive",
+                     [this, socket] { ReceiveMessages(socket); }))
       close(socket);
   }
 }
 
-void PeerListener::Serve(int socket) {
+void PeerListener::ReceiveMessages(int socket) {
   for (;;) {
     uint32_t size = 0;
     if (!ReadAll(socket, reinterpret_cast<char*>(&size), sizeof(size))) break;
@@ -153,7 +157,7 @@
   std::string bytes = EncodePeerStatus(status);
   std::lock_guard lock(mutex_);
   pending_ = std::move(bytes);
-  ready_.notify_one();
+  message_posted_.notify_one();
 }
 
 bool PeerSender::Send(const std::string& bytes) {
@@ -173,11 +177,13 @@
     std::string bytes;
     {
       std::unique_lock lock(mutex_);
-      ready_.wait(lock, [this] { return pending_.has_value(); });
+      message_posted_.wait(lock, [this] { return pending_.has_value(); });
       bytes = std::move(*pending_);
       pending_.reset();
     }
-    if (!Send(bytes)) Send(bytes);  // the connection may have been a dead one
+    // The peer may have closed the old connection: tries once more on a new
+    // one.
+    if (!Send(bytes)) Send(bytes);
   }
 }
 
--- a/src/peer/peer_connection.h
+++ b/src/peer/peer_connection.h
@@ -1,6 +1,6 @@
-// Connections between controllers. Each message travels over a blocking TCP
-// socket with its length before it, as 4 bytes in network order. A message is
-// worth nothing when late, so one that can't be sent is dropped.
+// Connections between controllers. Each message is sent over a TCP connection
+// after its length, which is encoded as 4 bytes in network byte order. A late
+// status message is useless, so a message that can't be sent is dropped.
 #pragma once
 
 #include <condition_variable>
@@ -14,55 +14,57 @@
 
 namespace sorrelwood {
 
-// Accepts the connections of the other controllers and hands on what they send.
+// Accepts the connections of the other controllers and passes their messages to
+// a handler.
 class PeerListener {
  public:
-  // Called on the thread of the connection, so on several at once.
+  // Called by one thread for each connection, so possibly by several at once.
   using Handler = std::function<void(PeerStatus)>;
 
   // `address` is "IP:port"; port 0 lets the system choose one.
   PeerListener(std::string address, Handler handler)
       : address_(std::move(address)), handler_(std::move(handler)) {}
 
-  // Starts to listen; false if the address can't be used.
+  // Starts to listen; false if the address can't be listened on.
   bool Bind();
-  // The port that is listened on, after Bind().
+  // The listening port, after Bind().
   int port() const { return port_; }
-  // Accepts connections, each served by a thread of its own, for the life of
-  // the process.
+  // Accepts connections until the process ends. Each connection has its own
+  // thread.
   void Run();
 
  private:
-  // Reads messages until the connection ends or one of them is malformed.
-  void Serve(int socket);
+  // Receives messages until the connection ends or a message is invalid, then
+  // closes the socket.
+  void ReceiveMessages(int socket);
 
   std::string address_;
   Handler handler_;
-  int socket_ = -1;
+  int socket_ = -1;  // -1: not listening
   int port_ = 0;
 };
 
-// Sends messages to one peer; the latest replaces one that still waits. Post()
-// may be called on any thread.
+// Sends messages to one peer. A new message replaces one that has not been sent
+// yet. Post() may be called by any thread.
 class PeerSender {
  public:
   // `address` is "IP:port".
   explicit PeerSender(std::string address) : address_(std::move(address)) {}
 
-  // Has the status sent by Run(), without waiting for it.
+  // Queues the status for Run() and returns without waiting.
   void Post(const PeerStatus& status);
-  // Sends what is posted, for the life of the process.
+  // Sends the posted messages until the process ends.
   void Run();
 
  private:
-  // Connects if need be; false if the peer can't be reached or the connection
-  // breaks.
+  // Connects if necessary. False if the peer can't be reached or the connection
+  // fails.
   bool Send(const std::string& bytes);
 
   std::string address_;
-  int socket_ = -1;  // only used by Run()
+  int socket_ = -1;  // -1: not connected; only used by Run()
   std::mutex mutex_;
-  std::condition_variable ready_;
+  std::condition_variable message_posted_;
   std::optional<std::string> pending_;  // guarded by mutex_
 };
 
--- a/src/peer/peer_status_codec.cc
+++ b/src/peer/peer_status_codec.cc
@@ -49,8 +49,11 @@
 
 ParseResult<PeerStatus> DecodePeerStatus(const std::string& bytes) {
   if (bytes.empty() || bytes.size() % sizeof(capnp::word) != 0)
-    return MakeParseError("", "the message is not a whole number of words");
-  // The library reads aligned words.
+    return MakeParseError(
+        "",
+        "the size of the message must be a positive multiple of 8 bytes, got " +
+            std::to_string(bytes.size()));
+  // The library requires aligned words.
   std::vector<capnp::word> words(bytes.size() / sizeof(capnp::word));
   std::memcpy(words.data(), bytes.data(), bytes.size());
   try {
--- a/src/peer/peer_status_codec.h
+++ b/src/peer/peer_status_codec.h
@@ -1,4 +1,4 @@
-// Encodes and decodes the message that controllers send each other
+// Encodes and decodes the status messages between controllers
 // (peer_status.capnp).
 #pragma once
 
@@ -9,10 +9,11 @@
 
 namespace sorrelwood {
 
-// Returns the message's bytes, a whole number of 8-byte words.
+// Returns the encoded message; its size is a multiple of 8 bytes.
 std::string EncodePeerStatus(const PeerStatus& status);
 
-// Returns the message, or an error without a field if `bytes` hold none.
+// Returns the decoded message, or an error without a field if `bytes` are not a
+// valid message.
 ParseResult<PeerStatus> DecodePeerStatus(const std::string& bytes);
 
 }  // namespace sorrelwood
--- a/src/server/cloud_request_workers.cc
+++ b/src/server/cloud_request_workers.cc
@@ -9,10 +9,10 @@
 namespace sorrelwood {
 namespace {
 
-// Sends one request and waits for its result.
-class Sender {
+// Sends any kind of request and waits for its result.
+class CloudRequestSender {
  public:
-  explicit Sender(CloudClient* client) : client_(client) {}
+  explicit CloudRequestSender(CloudClient* client) : client_(client) {}
 
   CloudResult operator()(const FetchCatalog& fetch) {
     return client_->GetCatalog(fetch);
@@ -34,14 +34,14 @@
 }  // namespace
 
 void CloudRequestWorkers::Start() {
-  StartThreads("cloud-list", 1, &reads_);
-  StartThreads("cloud", kCloudChangeThreads, &changes_);
+  StartThreads("cloud-list", 1, &read_requests_);
+  StartThreads("cloud", kCloudChangeThreads, &change_requests_);
 }
 
 void CloudRequestWorkers::Send(CloudRequest request) {
-  const bool reads = std::holds_alternative<FetchCatalog>(request) ||
-                     std::holds_alternative<ListCloudMachines>(request);
-  (reads ? reads_ : changes_).Push(std::move(request));
+  const bool is_read = std::holds_alternative<FetchCatalog>(request) ||
+                       std::holds_alternative<ListCloudMachines>(request);
+  (is_read ? read_requests_ : change_requests_).Push(std::move(request));
 }
 
 void CloudRequestWorkers::StartThreads(const char* name, int count,
@@ -52,7 +52,7 @@
       for (;;) {
         const CloudRequest request = queue->Pop();
         inputs_->Push(
-            [result = std::visit(Sender(&client), request)](
+            [result = std::visit(CloudRequestSender(&client), request)](
                 Controller& controller, Controller::Time time) {
               return controller.Deliver(time, result);
             },
--- a/src/server/cloud_request_workers.h
+++ b/src/server/cloud_request_workers.h
@@ -1,6 +1,6 @@
-// Threads that send the core's requests to the cloud, each with a connection of
-// its own. Reading its catalogue and lists has a thread for itself: guards
-// against many pages holding up rentals and releases.
+// Threads that send the core's requests to the cloud, each over its own
+// connection. Reads of the catalogue and of the inventory have a separate
+// thread, so that a long inventory does not delay provisioning and releases.
 #pragma once
 
 #include <string>
@@ -17,12 +17,13 @@
 
 class CloudRequestWorkers {
  public:
-  // `address` is that of the cloud; results go into `inputs`.
+  // `address` is the cloud's "IP:port". Results are pushed to `inputs`.
   CloudRequestWorkers(std::string address, InputQueue* inputs)
       : address_(std::move(address)), inputs_(inputs) {}
 
-  // The threads run for the life of the process.
+  // The threads run until the process ends.
   void Start();
+  // Queues a request for a thread of its class.
   void Send(CloudRequest request);
 
  private:
@@ -32,8 +33,8 @@
 
   const std::string address_;
   InputQueue* const inputs_;
-  Queue reads_;
-  Queue changes_;
+  Queue read_requests_;
+  Queue change_requests_;
 };
 
 }  // namespace sorrelwood
--- a/src/server/command_push_workers.cc
+++ b/src/server/command_push_workers.cc
@@ -11,21 +11,24 @@
 namespace sorrelwood {
 namespace {
 
-// The statuses with which a worker accepts commands, and refuses those of an
-// older leader; with both it sends a heartbeat.
-constexpr int kAccepted = 200;
-constexpr int kStaleToken = 409;
+// HTTP statuses of a worker that accepts the commands, and of one that rejects
+// them because their fencing token is stale. The body of both is a heartbeat.
+constexpr int kAcceptedStatus = 200;
+constexpr int kStaleTokenStatus = 409;
 
-// Sends the commands over a new connection: a worker is pushed to rarely.
+// Sends the commands over a new connection, since pushes to one worker are too
+// rare to keep connections open.
 PushResult PushCommands(const PushedCommands& commands) {
   HttpClient client(commands.address, kPushTimeoutS);
-  const HttpAnswer answer = client.Post(
+  const HttpResult response = client.Post(
       protocol::path::kPushCommands, protocol::EncodePushedCommands(commands));
   PushResult result;
   result.id = commands.id;
-  result.accepted = answer.status == kAccepted;
-  if (answer.status != kAccepted && answer.status != kStaleToken) return result;
-  if (auto heartbeat = protocol::ParseHeartbeat(answer.body)) {
+  result.accepted = response.status == kAcceptedStatus;
+  if (response.status != kAcceptedStatus &&
+      response.status != kStaleTokenStatus)
+    return result;
+  if (auto heartbeat = protocol::ParseHeartbeat(response.body)) {
     result.answered = true;
     result.heartbeat = std::move(*heartbeat);
   }
--- a/src/server/command_push_workers.h
+++ b/src/server/command_push_workers.h
@@ -1,4 +1,4 @@
-// Threads that push commands to workers that have not been heard of lately.
+// Threads that push commands to workers whose heartbeats are overdue.
 #pragma once
 
 #include <cstddef>
@@ -11,11 +11,12 @@
 
 class CommandPushWorkers {
  public:
-  // Results go into `inputs`.
+  // Results are pushed to `inputs`.
   explicit CommandPushWorkers(InputQueue* inputs) : inputs_(inputs) {}
 
-  // The threads run for the life of the process.
+  // The threads run until the process ends.
   void Start(size_t threads);
+  // Queues commands for any of the threads.
   void Send(PushedCommands commands) { commands_.Push(std::move(commands)); }
 
  private:
--- a/src/server/controller_server.cc
+++ b/src/server/controller_server.cc
@@ -14,38 +14,40 @@
 namespace sorrelwood {
 namespace {
 
-size_t InputQueueLimit(const ClusterSettings& settings) {
+size_t ComputeInputQueueLimit(const ClusterSettings& settings) {
   return std::max(kMinInputQueueLimit,
                   MaxWorkerConnections(settings) / kWorkersPerQueuedInput);
 }
 
-size_t PushThreads(const ClusterSettings& settings) {
+size_t CountPushThreads(const ClusterSettings& settings) {
   return std::clamp(MaxWorkerConnections(settings) / kWorkersPerPushThread,
                     kMinPushThreads, kMaxPushThreads);
 }
 
-Endpoint ListenEndpoint(const ClusterSettings& settings) {
+Endpoint ParseListenEndpoint(const ClusterSettings& settings) {
   Endpoint endpoint;
   ParseEndpoint(settings.listen_address, &endpoint);
   return endpoint;
 }
 
-ConnectionLimits LimitsOf(const ClusterSettings& settings) {
+ConnectionLimits ComputeConnectionLimits(const ClusterSettings& settings) {
   ConnectionLimits limits;
   limits.total = MaxConnections(settings);
   limits.workers = MaxWorkerConnections(settings);
   limits.users = static_cast<size_t>(static_cast<double>(limits.total) *
                                      kUserConnectionShare);
-  limits.worker_idle_s = settings.worker_lease_s;
-  limits.worker_stale_s = kSilentHeartbeats * settings.heartbeat_interval_s;
+  limits.worker_idle_timeout_s = settings.worker_lease_s;
+  limits.worker_evictable_after_s =
+      kSilentHeartbeats * settings.heartbeat_interval_s;
   limits.threads = MaxRequestThreads(settings);
   return limits;
 }
 
 void LogLimits(const ClusterSettings& settings) {
-  const ConnectionLimits limits = LimitsOf(settings);
+  const ConnectionLimits limits = ComputeConnectionLimits(settings);
   spdlog::info(
-      "up to {} connections: {} workers, {} users; {} requests at once",
+      "connection limit {}: up to {} from workers and {} from users; up to {} "
+      "concurrent requests",
       limits.total, limits.workers, limits.users, limits.threads);
   spdlog::info("{}", DescribeCapacity(settings));
 }
@@ -66,12 +68,13 @@
                                    uint64_t incarnation)
     : settings_(settings),
       controller_(settings, policy, incarnation),
-      inputs_(InputQueueLimit(settings)),
+      inputs_(ComputeInputQueueLimit(settings)),
       routes_(&inputs_, &responses_, &metrics_),
-      state_(settings.state_address, &inputs_),
-      cloud_(settings.cloud_address, &inputs_),
-      pushes_(&inputs_),
-      http_server_(ListenEndpoint(settings), LimitsOf(settings), ClassifyClient,
+      state_requests_(settings.state_address, &inputs_),
+      cloud_requests_(settings.cloud_address, &inputs_),
+      command_pushes_(&inputs_),
+      http_server_(ParseListenEndpoint(settings),
+                   ComputeConnectionLimits(settings), ClassifyClient,
                    [this](const HttpRequest& request) {
                      return routes_.Handle(request);
                    }),
@@ -92,8 +95,8 @@
   if (!Bind()) return false;
   controller_.set_debug(spdlog::should_log(spdlog::level::debug));
   StartThreads();
-  spdlog::info("{} in {} serves on {}", settings_.node, settings_.zone,
-               settings_.listen_address);
+  spdlog::info("node {} in zone {} is listening on {}", settings_.node,
+               settings_.zone, settings_.listen_address);
   http_server_.Serve();
   return true;
 }
@@ -111,9 +114,9 @@
 }
 
 void ControllerServer::StartThreads() {
-  state_.Start();
-  cloud_.Start();
-  pushes_.Start(PushThreads(settings_));
+  state_requests_.Start();
+  cloud_requests_.Start();
+  command_pushes_.Start(CountPushThreads(settings_));
   StartThread("peer-accept", [this] { peer_listener_.Run(); });
   for (auto& sender : peer_senders_)
     StartThread("peer-send", [&sender = *sender] { sender.Run(); });
@@ -121,19 +124,19 @@
 }
 
 void ControllerServer::RunCore() {
-  double next_tick = 0;
-  double next_metrics = 0;
+  double next_tick_at = 0;
+  double next_metrics_at = 0;
   for (;;) {
-    const Input input = inputs_.Pop(/*deadline=*/next_tick);
+    const Input input = inputs_.Pop(/*deadline=*/next_tick_at);
     const Controller::Time time{SteadyNow(), WallNow()};
     if (input) Dispatch(input(controller_, time));
-    if (time.steady >= next_tick) {
-      next_tick = time.steady + kTickIntervalS;
+    if (time.steady >= next_tick_at) {
+      next_tick_at = time.steady + kTickIntervalS;
       Dispatch(controller_.Tick(time));
       routes_.set_healthy(controller_.Healthy());
     }
-    if (time.steady >= next_metrics) {
-      next_metrics = time.steady + kMetricsIntervalS;
+    if (time.steady >= next_metrics_at) {
+      next_metrics_at = time.steady + kMetricsIntervalS;
       metrics_.Publish(controller_.CollectStatistics());
     }
   }
@@ -141,7 +144,8 @@
 
 void ControllerServer::Dispatch(Actions actions) {
   for (Action& action : actions)
-    std::visit([this](auto& item) { Execute(std::move(item)); }, action);
+    std::visit([this](auto& specific) { Execute(std::move(specific)); },
+               action);
 }
 
 void ControllerServer::Execute(ClientResponse action) {
--- a/src/server/controller_server.h
+++ b/src/server/controller_server.h
@@ -1,6 +1,6 @@
-// One controller as a process: the core on a thread of its own, and around it
-// the HTTP server, the connections to the other controllers, and the workers
-// that carry the core's requests to the outside.
+// The controller process: the core on its own thread, the HTTP server, the
+// connections to the other controllers, and the threads that send the core's
+// requests to the state service, the cloud and the workers.
 #pragma once
 
 #include <memory>
@@ -25,44 +25,54 @@
   ControllerServer(const ClusterSettings& settings,
                    const PolicySettings& policy, uint64_t incarnation);
 
-  // Serves until the process is killed; false when an address can't be had.
+  // Serves until the process is killed. Returns false if an address can't be
+  // listened on.
   bool Run();
 
  private:
   bool Bind();
   void StartThreads();
-  // The core's thread: takes inputs and dispatches what they lead to.
+  // Runs on the core's thread: passes inputs to the core and executes the
+  // resulting actions.
   void RunCore();
   void Dispatch(Actions actions);
 
-  // One for each action of the core.
-  void Execute(StateTransaction action) { state_.Send(std::move(action)); }
-  void Execute(StateGet action) { state_.Send(std::move(action)); }
-  void Execute(StateList action) { state_.Send(std::move(action)); }
-  void Execute(StateWatch action) { state_.Send(std::move(action)); }
-  void Execute(LeaseCreate action) { state_.Send(action); }
-  void Execute(LeaseRenew action) { state_.Send(action); }
-  // The core never ends a lease before its time.
+  // One overload for each kind of action.
+  void Execute(StateTransaction action) {
+    state_requests_.Send(std::move(action));
+  }
+  void Execute(StateGet action) { state_requests_.Send(std::move(action)); }
+  void Execute(StateList action) { state_requests_.Send(std::move(action)); }
+  void Execute(StateWatch action) { state_requests_.Send(std::move(action)); }
+  void Execute(LeaseCreate action) { state_requests_.Send(action); }
+  void Execute(LeaseRenew action) { state_requests_.Send(action); }
+  // Never requested: the core lets leases expire instead of ending them.
   void Execute(const LeaseEnd&) {}
-  void Execute(FetchCatalog action) { cloud_.Send(action); }
-  void Execute(ListCloudMachines action) { cloud_.Send(action); }
-  void Execute(ProvisionMachines action) { cloud_.Send(std::move(action)); }
-  void Execute(ReleaseMachines action) { cloud_.Send(std::move(action)); }
-  void Execute(PushedCommands action) { pushes_.Send(std::move(action)); }
+  void Execute(FetchCatalog action) { cloud_requests_.Send(action); }
+  void Execute(ListCloudMachines action) { cloud_requests_.Send(action); }
+  void Execute(ProvisionMachines action) {
+    cloud_requests_.Send(std::move(action));
+  }
+  void Execute(ReleaseMachines action) {
+    cloud_requests_.Send(std::move(action));
+  }
+  void Execute(PushedCommands action) {
+    command_pushes_.Send(std::move(action));
+  }
   void Execute(ClientResponse action);
   void Execute(const HeartbeatResponse& action);
   void Execute(const SendPeerStatus& action);
   void Execute(const LogEvent& event);
 
   const ClusterSettings settings_;
-  Controller controller_;  // of the core's thread
+  Controller controller_;  // used only by the core's thread
   InputQueue inputs_;
   PendingResponses responses_;
   Metrics metrics_;
   HttpRoutes routes_;
-  StateRequestWorkers state_;
-  CloudRequestWorkers cloud_;
-  CommandPushWorkers pushes_;
+  StateRequestWorkers state_requests_;
+  CloudRequestWorkers cloud_requests_;
+  CommandPushWorkers command_pushes_;
   HttpServer http_server_;
   PeerListener peer_listener_;
   std::vector<std::unique_ptr<PeerSender>> peer_senders_;
--- a/src/server/http_routes.h
+++ b/src/server/http_routes.h
@@ -1,5 +1,5 @@
-// The HTTP interface of a controller: what users, workers and probes may ask,
-// turned into inputs of the core and its responses.
+// The HTTP interface of a controller: converts the requests of users, workers
+// and probes to inputs of the core, and the core's responses to HTTP.
 #pragma once
 
 #include <atomic>
@@ -13,7 +13,7 @@
 
 namespace sorrelwood {
 
-// The kind of client that asks for a path.
+// Returns the kind of client that requests this path.
 ClientKind ClassifyClient(const std::string& path);
 
 class HttpRoutes {
@@ -21,25 +21,25 @@
   HttpRoutes(InputQueue* inputs, PendingResponses* responses, Metrics* metrics)
       : inputs_(inputs), responses_(responses), metrics_(metrics) {}
 
-  // Answers a request; called by many threads at once. Waits for the core, but
-  // for probes.
-  HttpReply Handle(const HttpRequest& request);
-  // What /up answers from now on.
+  // Answers a request; may be called by many threads at once. Waits for the
+  // core except for health and metrics requests.
+  HttpResponse Handle(const HttpRequest& request);
+  // Sets the answer of the health path, /up.
   void set_healthy(bool healthy) { healthy_ = healthy; }
 
  private:
-  // Makes the input for the request with this identifier.
+  // Makes the core's input for the request with this identifier.
   using InputMaker = std::function<Input(uint64_t request)>;
 
-  HttpReply HandleHealth() const;
-  HttpReply HandleMetrics() const;
-  HttpReply HandleHeartbeat(const HttpRequest& request);
-  HttpReply HandleUser(const HttpRequest& request);
-  HttpReply HandleSubmission(const HttpRequest& request);
-  HttpReply HandlePoll(const std::string& job);
-  HttpReply HandleCancel(const std::string& job);
-  // Hands an input to the core and waits for the response to it.
-  HttpReply Call(InputPriority priority, const InputMaker& make_input);
+  HttpResponse HandleHealth() const;
+  HttpResponse HandleMetrics() const;
+  HttpResponse HandleHeartbeat(const HttpRequest& request);
+  HttpResponse HandleUser(const HttpRequest& request);
+  HttpResponse HandleSubmission(const HttpRequest& request);
+  HttpResponse HandlePoll(const std::string& job);
+  HttpResponse HandleCancel(const std::string& job);
+  // Passes an input to the core and waits for its response.
+  HttpResponse CallCore(InputPriority priority, const InputMaker& make_input);
 
   InputQueue* const inputs_;
   PendingResponses* const responses_;
--- a/src/server/input_queue.cc
+++ b/src/server/input_queue.cc
@@ -9,22 +9,23 @@
 
 void InputQueue::Push(Input input, InputPriority priority) {
   std::lock_guard lock(mutex_);
-  auto& queue = priority == InputPriority::kUser ? user_ : system_;
+  auto& queue =
+      priority == InputPriority::kUser ? user_inputs_ : system_inputs_;
   queue.push_back(std::move(input));
-  pushed_.notify_one();
+  input_pushed_.notify_one();
 }
 
 bool InputQueue::IsOverloaded() {
   std::lock_guard lock(mutex_);
-  return system_.size() + user_.size() > limit_;
+  return system_inputs_.size() + user_inputs_.size() > limit_;
 }
 
 Input InputQueue::Pop(double deadline) {
   std::unique_lock lock(mutex_);
   const std::chrono::duration<double> timeout(deadline - SteadyNow());
-  pushed_.wait_for(lock, timeout, [this] { return !IsEmpty(); });
+  input_pushed_.wait_for(lock, timeout, [this] { return !IsEmpty(); });
   if (IsEmpty()) return nullptr;
-  auto& queue = system_.empty() ? user_ : system_;
+  auto& queue = system_inputs_.empty() ? user_inputs_ : system_inputs_;
   Input input = std::move(queue.front());
   queue.pop_front();
   return input;
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -22,13 +22,13 @@
                            double seconds) {
   requests_.Add({{"kind", kind}, {"status", std::to_string(status)}})
       .Increment();
-  static const prometheus::Histogram::BucketBoundaries kBuckets{
+  static const prometheus::Histogram::BucketBoundaries kBucketsS{
       0.002, 0.01, 0.05, 0.2, 1, 4};
-  durations_.Add({{"kind", kind}}, kBuckets).Observe(seconds);
+  durations_.Add({{"kind", kind}}, kBucketsS).Observe(seconds);
 }
 
 template <typename Number>
-void Metrics::Set(const char* name, Number value) {
+void Metrics::SetGauge(const char* name, Number value) {
   gauges_.Add({{"of", name}}).Set(static_cast<double>(value));
 }
 
@@ -42,45 +42,45 @@
 }
 
 void Metrics::PublishLeadership(const Controller::Statistics& statistics) {
-  Set("leading", statistics.leading);
-  Set("may_launch", statistics.may_dispatch);
-  Set("may_answer_workers", statistics.may_renew_worker_leases);
-  Set("term", statistics.term);
+  SetGauge("leading", statistics.leading);
+  SetGauge("may_launch", statistics.may_dispatch);
+  SetGauge("may_answer_workers", statistics.may_renew_worker_leases);
+  SetGauge("term", statistics.term);
 }
 
 void Metrics::PublishWork(const SchedulerStatistics& statistics) {
-  Set("jobs", statistics.jobs);
-  Set("tasks_pending", statistics.pending);
-  Set("tasks_placed", statistics.placed);
-  Set("speculative_kills", statistics.speculative_kills);
+  SetGauge("jobs", statistics.jobs);
+  SetGauge("tasks_pending", statistics.pending);
+  SetGauge("tasks_placed", statistics.placed);
+  SetGauge("speculative_kills", statistics.speculative_kills);
 }
 
 void Metrics::PublishMachines(const SchedulerStatistics& statistics) {
-  Set("machines", statistics.machines);
-  Set("machines_base", statistics.base_machines);
-  Set("machines_unaccounted", statistics.unreconciled);
-  Set("base_target_cpus", statistics.base_target_cpus);
-  Set("rented_to_the_end", statistics.rented_to_end);
+  SetGauge("machines", statistics.machines);
+  SetGauge("machines_base", statistics.base_machines);
+  SetGauge("machines_unaccounted", statistics.unreconciled);
+  SetGauge("base_target_cpus", statistics.base_target_cpus);
+  SetGauge("rented_to_the_end", statistics.rented_to_end);
 }
 
 void Metrics::PublishPredictor(const SchedulerStatistics& statistics) {
-  Set("predictor_samples", statistics.predictor_samples);
-  Set("predictor_error_seconds", statistics.predictor_error_s);
-  Set("predictor_matthews", statistics.predictor_matthews);
+  SetGauge("predictor_samples", statistics.predictor_samples);
+  SetGauge("predictor_error_seconds", statistics.predictor_error_s);
+  SetGauge("predictor_matthews", statistics.predictor_matthews);
 }
 
 void Metrics::PublishReplicas(const SchedulerStatistics& statistics) {
-  Set("replicas_wanted", statistics.replicas.wanted);
-  Set("replicas_running", statistics.replicas.running);
-  Set("replicas_restarted", statistics.replicas.restarted);
-  Set("replica_seconds_without", statistics.replicas.without_s);
+  SetGauge("replicas_wanted", statistics.replicas.wanted);
+  SetGauge("replicas_running", statistics.replicas.running);
+  SetGauge("replicas_restarted", statistics.replicas.restarted);
+  SetGauge("replica_seconds_without", statistics.replicas.without_s);
 }
 
 void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
-  Set("spread_imbalance", statistics.spread.imbalance);
-  Set("moves_under_way", statistics.spread.under_way);
-  Set("moves_begun", statistics.spread.begun);
-  Set("moves_finished", statistics.spread.finished);
+  SetGauge("spread_imbalance", statistics.spread.imbalance);
+  SetGauge("moves_under_way", statistics.spread.under_way);
+  SetGauge("moves_begun", statistics.spread.begun);
+  SetGauge("moves_finished", statistics.spread.finished);
   for (const MoveFailure failure :
        {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kPlaceLost,
         MoveFailure::kNotNow}) {
--- a/src/server/metrics.h
+++ b/src/server/metrics.h
@@ -1,5 +1,5 @@
-// What operators can read at /metrics, in the Prometheus text format. The names
-// are listed in docs/operations.md.
+// The metrics that the controller exposes at /metrics in the Prometheus text
+// format. docs/operations.md lists them.
 #pragma once
 
 #include <prometheus/counter.h>
@@ -13,14 +13,14 @@
 
 namespace sorrelwood {
 
-// May be used by several threads at once.
+// Thread-safe.
 class Metrics {
  public:
   Metrics();
 
-  // Counts a request that was answered; `kind` is "worker" or "user".
+  // Counts an answered request and its duration; `kind` is "worker" or "user".
   void CountRequest(const std::string& kind, int status, double seconds);
-  // Replaces the values of the controller's state.
+  // Sets the gauges of the controller's state.
   void Publish(const Controller::Statistics& statistics);
   // All metrics as text.
   std::string Text() const;
@@ -33,7 +33,7 @@
   void PublishReplicas(const SchedulerStatistics& statistics);
   void PublishLoadSpread(const SchedulerStatistics& statistics);
   template <typename Number>
-  void Set(const char* name, Number value);
+  void SetGauge(const char* name, Number value);
 
   prometheus::Registry registry_;
   prometheus::Family<prometheus::Counter>& requests_;
--- a/src/server/pending_responses.cc
+++ b/src/server/pending_responses.cc
@@ -5,7 +5,7 @@
 
 namespace sorrelwood {
 
-uint64_t PendingResponses::Open() {
+uint64_t PendingResponses::Register() {
   std::lock_guard lock(mutex_);
   const uint64_t request = next_request_++;
   pending_.try_emplace(request);
--- a/src/server/pending_responses.h
+++ b/src/server/pending_responses.h
@@ -1,4 +1,4 @@
-// Requests that wait for the core's response, each with a thread of its own.
+// The HTTP requests that wait for the core's response, each on its own thread.
 #pragma once
 
 #include <condition_variable>
@@ -10,20 +10,22 @@
 
 namespace sorrelwood {
 
-// What the core answers to a request.
+// The core's response to a request.
 struct CoreResponse {
-  int status = 503;  // of HTTP
+  int status = 503;  // HTTP status
   std::string body;
-  double retry_after_s = 0;  // 0: no such header
+  double retry_after_s = 0;  // 0: no Retry-After header
 };
 
 class PendingResponses {
  public:
-  // The identifier of a new request; Wait must follow.
-  uint64_t Open();
-  // Waits for the response and forgets the request; nothing after `timeout_s`.
+  // Registers a new request and returns its identifier. The caller must call
+  // Wait for it.
+  uint64_t Register();
+  // Waits for the response and removes the request; empty on timeout.
   std::optional<CoreResponse> Wait(uint64_t request, double timeout_s);
-  // Dropped when nobody waits for it any more.
+  // Passes the response to the thread that waits for it. The response is
+  // dropped if that wait has timed out.
   void Complete(uint64_t request, CoreResponse response);
 
  private:
--- a/src/server/state_request_workers.cc
+++ b/src/server/state_request_workers.cc
@@ -9,10 +9,10 @@
 namespace sorrelwood {
 namespace {
 
-// Sends one request and waits for its result.
-class Sender {
+// Sends any kind of request and waits for its result.
+class StateRequestSender {
  public:
-  explicit Sender(StateClient* client) : client_(client) {}
+  explicit StateRequestSender(StateClient* client) : client_(client) {}
 
   StateResult operator()(const StateTransaction& transaction) {
     return client_->Transact(transaction);
@@ -46,11 +46,11 @@
 }
 
 void StateRequestWorkers::Send(StateRequest request) {
-  Queue& queue = QueueOf(request);
+  Queue& queue = FindQueue(request);
   queue.Push(std::move(request));
 }
 
-StateRequestWorkers::Queue& StateRequestWorkers::QueueOf(
+StateRequestWorkers::Queue& StateRequestWorkers::FindQueue(
     StateConnection connection) {
   switch (connection) {
     case StateConnection::kLeaseRenewal: return lease_renewals_;
@@ -61,12 +61,12 @@
   return user_requests_;
 }
 
-StateRequestWorkers::Queue& StateRequestWorkers::QueueOf(
+StateRequestWorkers::Queue& StateRequestWorkers::FindQueue(
     const StateRequest& request) {
   if (const auto* transaction = std::get_if<StateTransaction>(&request))
-    return QueueOf(transaction->connection);
+    return FindQueue(transaction->connection);
   if (const auto* get = std::get_if<StateGet>(&request))
-    return QueueOf(get->connection);
+    return FindQueue(get->connection);
   if (std::holds_alternative<StateList>(request)) return lists_;
   if (std::holds_alternative<StateWatch>(request)) return watches_;
   return lease_renewals_;
@@ -80,7 +80,7 @@
       for (;;) {
         const StateRequest request = queue->Pop();
         inputs_->Push(
-            [result = std::visit(Sender(&client), request)](
+            [result = std::visit(StateRequestSender(&client), request)](
                 Controller& controller, Controller::Time time) {
               return controller.Deliver(time, result);
             },
--- a/src/server/state_request_workers.h
+++ b/src/server/state_request_workers.h
@@ -1,7 +1,7 @@
 // Threads that send the core's requests to the state service. Each class of
-// requests has a queue and threads of its own, each thread a connection: guards
-// against a slow response of one class holding up another, most of all the
-// renewal of leases.
+// requests has its own queue and threads, and each thread its own connection,
+// so that slow responses of one class don't delay another. This matters most
+// for the renewal of leases.
 #pragma once
 
 #include <string>
@@ -18,11 +18,11 @@
 
 class StateRequestWorkers {
  public:
-  // `address` is that of the state service; results go into `inputs`.
+  // `address` is the state service's "IP:port". Results are pushed to `inputs`.
   StateRequestWorkers(std::string address, InputQueue* inputs)
       : address_(std::move(address)), inputs_(inputs) {}
 
-  // The threads run for the life of the process.
+  // The threads run until the process ends.
   void Start();
   // Queues a request for a thread of its class.
   void Send(StateRequest request);
@@ -30,8 +30,8 @@
  private:
   using Queue = BlockingQueue<StateRequest>;
 
-  Queue& QueueOf(StateConnection connection);
-  Queue& QueueOf(const StateRequest& request);
+  Queue& FindQueue(StateConnection connection);
+  Queue& FindQueue(const StateRequest& request);
   void StartThreads(const char* name, int count, double timeout_s,
                     Queue* queue);
 
--- a/src/state/state_client.cc
+++ b/src/state/state_client.cc
@@ -15,24 +15,24 @@
 namespace path = protocol::path;
 namespace status = protocol::status;
 
-// Tells whether the service has carried out a request.
-Outcome OutcomeOfAnswer(const HttpAnswer& answer) {
-  switch (answer.status) {
+// Returns whether the service has executed a request.
+Outcome DetermineOutcome(const HttpResult& response) {
+  switch (response.status) {
     case status::kOk: return Outcome::kOk;
     case status::kConflict:
     case status::kNotFound: return Outcome::kConflict;
     case status::kTooManyRequests:
     case status::kServiceUnavailable:
     case status::kBadRequest: return Outcome::kRefused;
-    default: return answer.not_sent ? Outcome::kRefused : Outcome::kUnknown;
+    default: return response.not_sent ? Outcome::kRefused : Outcome::kUnknown;
   }
 }
 
-// Tells which limit of the service a refused transaction is over. A lease that
-// has ended gets the same status as a transaction that is too large, so one
-// with a lease is over none.
-StateRefusal RefusalOfTransaction(const StateTransaction& transaction,
-                                  int status_code) {
+// Returns the limit of the service that a refused transaction exceeds. The
+// status of a transaction that is too large also stands for an expired lease,
+// so no limit is inferred for transactions that contain a lease.
+StateRefusal DetermineRefusal(const StateTransaction& transaction,
+                              int status_code) {
   const bool has_lease =
       std::any_of(transaction.mutations.begin(), transaction.mutations.end(),
                   [](const Mutation& mutation) { return mutation.lease != 0; });
@@ -51,31 +51,32 @@
 StateResult StateClient::Transact(const StateTransaction& transaction) {
   StateResult result;
   result.id = transaction.id;
-  const HttpAnswer answer =
+  const HttpResult response =
       http_.Post(path::kTransaction, protocol::EncodeTransaction(transaction));
-  result.outcome = OutcomeOfAnswer(answer);
-  result.refusal = RefusalOfTransaction(transaction, answer.status);
-  // No key is asked for that might not be found.
-  if (answer.status == status::kNotFound) result.outcome = Outcome::kRefused;
+  result.outcome = DetermineOutcome(response);
+  result.refusal = DetermineRefusal(transaction, response.status);
+  // Transactions never request a key that may be missing, so 404 means that the
+  // service did not execute this one.
+  if (response.status == status::kNotFound) result.outcome = Outcome::kRefused;
   if (result.outcome != Outcome::kOk && result.outcome != Outcome::kConflict)
     return result;
-  auto transacted = protocol::ParseTransactionAnswer(answer.body);
-  if (!transacted) {
+  auto parsed = protocol::ParseTransactionAnswer(response.body);
+  if (!parsed) {
     result.outcome = Outcome::kUnknown;
     return result;
   }
-  result.revision = transacted->revision;
-  result.failed = std::move(transacted->failed_keys);
+  result.revision = parsed->revision;
+  result.failed = std::move(parsed->failed_keys);
   return result;
 }
 
 StateResult StateClient::Get(const StateGet& get) {
   StateResult result;
   result.id = get.id;
-  const HttpAnswer answer = http_.Get(protocol::KeyTarget(get.key));
-  result.outcome = OutcomeOfAnswer(answer);
+  const HttpResult response = http_.Get(protocol::KeyTarget(get.key));
+  result.outcome = DetermineOutcome(response);
   if (result.outcome != Outcome::kOk) return result;
-  if (auto item = protocol::ParseItem(answer.body))
+  if (auto item = protocol::ParseItem(response.body))
     result.items.push_back(std::move(*item));
   else
     result.outcome = Outcome::kUnknown;
@@ -85,14 +86,14 @@
 StateResult StateClient::List(const StateList& list) {
   StateResult result;
   result.id = list.id;
-  std::string after;
+  std::string last_key;
   uint64_t first_revision = 0;
   for (bool has_more = true; has_more;) {
-    const HttpAnswer answer =
-        http_.Get(protocol::ItemPageTarget(list.prefix, after, kListPage));
-    result.outcome = OutcomeOfAnswer(answer);
+    const HttpResult response =
+        http_.Get(protocol::ItemPageTarget(list.prefix, last_key, kListPage));
+    result.outcome = DetermineOutcome(response);
     if (result.outcome != Outcome::kOk) return result;
-    auto page = protocol::ParseItemPage(answer.body);
+    auto page = protocol::ParseItemPage(response.body);
     if (!page) {
       result.outcome = Outcome::kUnknown;
       return result;
@@ -101,11 +102,11 @@
     if (page->items.empty()) break;
     std::move(page->items.begin(), page->items.end(),
               std::back_inserter(result.items));
-    after = result.items.back().key;
+    last_key = result.items.back().key;
     has_more = page->has_more;
   }
-  // The pages may be of different moments: only the first is safe to watch
-  // from.
+  // The pages may be from different points in time. A watch from the first
+  // page's revision reports every change since then.
   result.revision = first_revision;
   return result;
 }
@@ -113,33 +114,33 @@
 StateResult StateClient::Watch(const StateWatch& watch) {
   StateResult result;
   result.id = watch.id;
-  const HttpAnswer answer =
+  const HttpResult response =
       http_.Get(protocol::WatchTarget(watch.prefix, watch.after, kWatchS));
-  if (answer.status == status::kGone) {
+  if (response.status == status::kGone) {
     result.outcome = Outcome::kOk;
     result.too_old = true;
     return result;
   }
-  result.outcome = OutcomeOfAnswer(answer);
+  result.outcome = DetermineOutcome(response);
   if (result.outcome != Outcome::kOk) return result;
-  auto watched = protocol::ParseWatchAnswer(answer.body);
-  if (!watched) {
+  auto parsed = protocol::ParseWatchAnswer(response.body);
+  if (!parsed) {
     result.outcome = Outcome::kUnknown;
     return result;
   }
-  result.revision = watched->revision;
-  result.items = std::move(watched->changes);
+  result.revision = parsed->revision;
+  result.items = std::move(parsed->changes);
   return result;
 }
 
 StateResult StateClient::CreateLease(const LeaseCreate& create) {
   StateResult result;
   result.id = create.id;
-  const HttpAnswer answer =
+  const HttpResult response =
       http_.Post(path::kLeases, protocol::EncodeLeaseRequest(create.ttl_s));
-  result.outcome = OutcomeOfAnswer(answer);
+  result.outcome = DetermineOutcome(response);
   if (result.outcome != Outcome::kOk) return result;
-  if (const auto lease = protocol::ParseLease(answer.body))
+  if (const auto lease = protocol::ParseLease(response.body))
     result.lease = *lease;
   else
     result.outcome = Outcome::kUnknown;
@@ -149,9 +150,9 @@
 StateResult StateClient::RenewLease(const LeaseRenew& renew) {
   StateResult result;
   result.id = renew.id;
-  const HttpAnswer answer =
+  const HttpResult response =
       http_.Post(protocol::RenewLeaseTarget(renew.lease), "{}");
-  result.outcome = OutcomeOfAnswer(answer);
+  result.outcome = DetermineOutcome(response);
   return result;
 }
 
--- a/src/state/state_client.h
+++ b/src/state/state_client.h
@@ -1,5 +1,5 @@
-// Blocking client of the state service ("Controller nodes -> state service" in
-// the protocol).
+// A blocking client of the state service ("Controller nodes -> state service"
+// in the protocol).
 #pragma once
 
 #include <string>
@@ -9,31 +9,31 @@
 
 namespace sorrelwood {
 
-// Sends one request at a time over one connection. Not shared between threads.
+// Sends one request at a time over one connection. Not thread-safe.
 //
-// The result's outcome tells whether the request was carried out; kUnknown
-// stands for no answer and for one that can't be read. Only with kOk, and after
-// a transaction with kConflict, does the rest of the result count.
+// The result's outcome says whether the service has executed the request;
+// kUnknown means no response or an invalid one. The other fields of the result
+// are only valid with kOk and, for transactions, kConflict.
 class StateClient {
  public:
-  // `address` is "IP:port"; an answer that takes longer than `timeout_s`
-  // seconds is dropped.
+  // `address` is "IP:port". A request without a response within `timeout_s`
+  // seconds fails.
   StateClient(const std::string& address, double timeout_s);
 
-  // Carries out all mutations or none. With kConflict the result names the keys
+  // Applies all mutations or none. With kConflict the result contains the keys
   // whose preconditions did not hold.
   StateResult Transact(const StateTransaction& transaction);
-  // Reads one key; kConflict if it does not exist.
+  // Reads a key; kConflict if it does not exist.
   StateResult Get(const StateGet& get);
-  // Reads all keys with a prefix, page by page. The result's revision is the
-  // first page's: a watch from there misses no change.
+  // Reads all keys with a prefix, page by page. The result has the revision of
+  // the first page, from which a watch misses no change.
   StateResult List(const StateList& list);
   // Waits up to kWatchS seconds for changes of keys with a prefix. `too_old` in
-  // the result tells that the service no longer has all of them.
+  // the result means that the service no longer has all changes after the
+  // revision `watch.after`, so the keys must be listed again.
   StateResult Watch(const StateWatch& watch);
-  // Creates a lease.
   StateResult CreateLease(const LeaseCreate& create);
-  // Gives a lease its full time again; kConflict if it has ended.
+  // Extends a lease to its full duration; kConflict if it has expired.
   StateResult RenewLease(const LeaseRenew& renew);
 
  private:
--- a/tests/adapter_test.cc
+++ b/tests/adapter_test.cc
@@ -74,7 +74,7 @@
   return got;
 }
 
-HttpReply Echo(const HttpRequest& request) {
+HttpResponse Echo(const HttpRequest& request) {
   return {200, request.method + " " + request.path + " " + request.body};
 }
 
@@ -82,7 +82,7 @@
   LocalServer server(Echo);
   HttpClient client(server.address(), 2);
   for (int i = 0; i < 20; ++i) {
-    const HttpAnswer answer = client.Post("/a/b", std::to_string(i));
+    const HttpResult answer = client.Post("/a/b", std::to_string(i));
     EXPECT_EQ(answer.status, 200);
     EXPECT_EQ(answer.body, "POST /a/b " + std::to_string(i));
   }
@@ -208,7 +208,7 @@
 
 TEST(HttpClient, ReportsThatNothingWasSent) {
   HttpClient client("127.0.0.1:1", 1);
-  const HttpAnswer answer = client.Post("/x", "{}");
+  const HttpResult answer = client.Post("/x", "{}");
   EXPECT_EQ(answer.status, 0);
   EXPECT_TRUE(answer.not_sent);
 }
@@ -217,7 +217,7 @@
   int status = 200;
   std::string body = R"({"epoch":7})";
   LocalServer server([&](const HttpRequest&) {
-    return HttpReply{status, body};
+    return HttpResponse{status, body};
   });
   StateClient client(server.address(), 2);
   const auto outcome = [&](int with, const std::string& text) {
@@ -253,9 +253,9 @@
   LocalServer server([&](const HttpRequest& request) {
     paths.push_back(request.path);
     if (paths.size() == 1)
-      return HttpReply{200, R"({"pairs":[{"k":"c/1","data":1,"stamp":3}],)"
+      return HttpResponse{200, R"({"pairs":[{"k":"c/1","data":1,"stamp":3}],)"
                             R"("has_next":true,"epoch":7})"};
-    return HttpReply{200, R"({"pairs":[{"k":"c/2","data":2,"stamp":8}],)"
+    return HttpResponse{200, R"({"pairs":[{"k":"c/2","data":2,"stamp":8}],)"
                           R"("has_next":false,"epoch":9})"};
   });
   StateClient client(server.address(), 2);
@@ -273,7 +273,7 @@
   int pages = 0;
   LocalServer server([&](const HttpRequest&) {
     const std::string name = "n-" + std::to_string(++pages);
-    return HttpReply{200, R"({"perches":[{"uid":")" + name +
+    return HttpResponse{200, R"({"perches":[{"uid":")" + name +
                               R"(","build":"g8","room":"a",)"
                               R"("status":"running"}],"has_next":)" +
                               (pages < 3 ? "true" : "false") + "}"};
@@ -288,7 +288,7 @@
 
 TEST(CloudClient, DistinguishesNoCapacityFromAnOutage) {
   std::string body = R"({"error":"no capacity"})";
-  LocalServer server([&](const HttpRequest&) { return HttpReply{503, body}; });
+  LocalServer server([&](const HttpRequest&) { return HttpResponse{503, body}; });
   CloudClient client(server.address(), 2);
   EXPECT_TRUE(client.Provision({}).no_capacity);
   body = R"({"error":"trouble"})";
@@ -301,7 +301,7 @@
   std::atomic<int> asked{0};
   LocalServer server([&](const HttpRequest&) {
     ++asked;
-    return HttpReply{200, R"({"perches":["n-1"]})"};
+    return HttpResponse{200, R"({"perches":["n-1"]})"};
   });
   CloudClient client(server.address(), 2);
   ReleaseMachines release;
--- a/tests/server_test.cc
+++ b/tests/server_test.cc
@@ -74,8 +74,8 @@
 
 TEST(PendingResponses, EachRequestGetsItsOwnResponse) {
   PendingResponses responses;
-  const uint64_t first = responses.Open();
-  const uint64_t second = responses.Open();
+  const uint64_t first = responses.Register();
+  const uint64_t second = responses.Register();
   std::thread core([&] {
     responses.Complete(second, {202, "second", 0});
     responses.Complete(first, {200, "first", 3});
@@ -91,7 +91,7 @@
 
 TEST(PendingResponses, ALateResponseIsDropped) {
   PendingResponses responses;
-  const uint64_t request = responses.Open();
+  const uint64_t request = responses.Register();
   EXPECT_FALSE(responses.Wait(request, 0.01));
   responses.Complete(request, {200, "late", 0});
   EXPECT_FALSE(responses.Wait(request, 0.01));
@@ -107,8 +107,8 @@
   limits.total = 3;
   limits.workers = 1;
   limits.users = 1;
-  limits.worker_idle_s = 10;
-  limits.worker_stale_s = 5;
+  limits.worker_idle_timeout_s = 10;
+  limits.worker_evictable_after_s = 5;
   limits.threads = 20;
   return limits;
 }
@@ -127,15 +127,15 @@
 TEST(ConnectionTable, OnlyAStaleWorkerMakesRoom) {
   ConnectionTable table(TestLimits());
   Connection* worker = table.Open(NewSocket());
-  EXPECT_TRUE(table.MakeRoom(ClientKind::kWorker, 0));
+  EXPECT_TRUE(table.EnsureCapacity(ClientKind::kWorker, 0));
   table.Classify(worker, ClientKind::kWorker);
-  table.StartWaiting(worker, 0);
+  table.MarkIdle(worker, 0);
   const int socket = worker->socket.get();
-  EXPECT_FALSE(table.MakeRoom(ClientKind::kWorker, 4));
-  EXPECT_TRUE(table.FindWaiting(socket));
-  EXPECT_TRUE(table.MakeRoom(ClientKind::kUser, 4));
-  EXPECT_TRUE(table.MakeRoom(ClientKind::kWorker, 6));
-  EXPECT_FALSE(table.FindWaiting(socket));
+  EXPECT_FALSE(table.EnsureCapacity(ClientKind::kWorker, 4));
+  EXPECT_TRUE(table.FindIdle(socket));
+  EXPECT_TRUE(table.EnsureCapacity(ClientKind::kUser, 4));
+  EXPECT_TRUE(table.EnsureCapacity(ClientKind::kWorker, 6));
+  EXPECT_FALSE(table.FindIdle(socket));
 }
 
 TEST(ConnectionTable, ClosesConnectionsThatWaitTooLong) {
@@ -145,13 +145,13 @@
   const int silent_socket = silent->socket.get();
   const int worker_socket = worker->socket.get();
   table.Classify(worker, ClientKind::kWorker);
-  table.StartWaiting(silent, 0);
-  table.StartWaiting(worker, 0);
+  table.MarkIdle(silent, 0);
+  table.MarkIdle(worker, 0);
   table.CloseExpired(kRequestReadTimeoutS + 1);
-  EXPECT_FALSE(table.FindWaiting(silent_socket));
-  EXPECT_TRUE(table.FindWaiting(worker_socket));
+  EXPECT_FALSE(table.FindIdle(silent_socket));
+  EXPECT_TRUE(table.FindIdle(worker_socket));
   table.CloseExpired(11);
-  EXPECT_FALSE(table.FindWaiting(worker_socket));
+  EXPECT_FALSE(table.FindIdle(worker_socket));
 }
 
 // Of 20 threads users have 15 and workers 3.
@@ -167,11 +167,11 @@
     queue.Push(&worker);
   }
   for (int i = 0; i < 3; ++i) EXPECT_EQ(queue.Pop()->kind, ClientKind::kWorker);
-  EXPECT_FALSE(queue.HasThread(ClientKind::kWorker));
+  EXPECT_FALSE(queue.HasFreeThread(ClientKind::kWorker));
   for (int i = 0; i < 15; ++i) EXPECT_EQ(queue.Pop()->kind, ClientKind::kUser);
   EXPECT_EQ(queue.Pop(), nullptr);
   EXPECT_EQ(queue.size(), 2u);
-  queue.Finish(ClientKind::kUser);
+  queue.ReleaseThread(ClientKind::kUser);
   EXPECT_EQ(queue.Pop()->kind, ClientKind::kUser);
   EXPECT_EQ(queue.TakeAll().size(), 1u);
   EXPECT_EQ(queue.size(), 0u);
@@ -245,7 +245,7 @@
   HttpRoutes routes(&inputs, &responses, &metrics);
   std::vector<std::string> order;
   inputs.Push(Recorder(&order, "a"), InputPriority::kSystem);
-  const HttpReply reply = routes.Handle({"GET", "/submissions/a", ""});
+  const HttpResponse reply = routes.Handle({"GET", "/submissions/a", ""});
   EXPECT_EQ(reply.status, 429);
   EXPECT_EQ(reply.retry_after_s, 2);
 }
@@ -256,7 +256,7 @@
   PendingResponses responses;
   Metrics metrics;
   HttpRoutes routes(&inputs, &responses, &metrics);
-  const HttpReply reply = routes.Handle({"POST", "/submissions/a/cancel", ""});
+  const HttpResponse reply = routes.Handle({"POST", "/submissions/a/cancel", ""});
   EXPECT_EQ(reply.status, 503);
   EXPECT_EQ(reply.retry_after_s, 1);
 }
