--- a/src/config/json_section.cc
+++ b/src/config/json_section.cc
@@ -47,24 +47,24 @@
 }
 
 JsonSection JsonSection::Section(const char* name) const {
-  const json* found = Find(name);
-  if (!found || !found->is_object()) {
-    Report(name, "must be an object, " + DescribeFound(found));
-    found = nullptr;
+  const json* value = Find(name);
+  if (!value || !value->is_object()) {
+    Report(name, "must be an object, " + DescribeFound(value));
+    value = nullptr;
   }
-  return {found, FieldPath(name), errors_};
+  return {value, FieldPath(name), errors_};
 }
 
 std::vector<JsonSection> JsonSection::Sections(const char* name) const {
   std::vector<JsonSection> sections;
-  const json* found = Find(name);
-  if (!found) return sections;
-  if (!found->is_array()) {
-    Report(name, "must be a list, " + DescribeFound(found));
+  const json* value = Find(name);
+  if (!value) return sections;
+  if (!value->is_array()) {
+    Report(name, "must be a list, " + DescribeFound(value));
     return sections;
   }
   int index = 0;
-  for (const json& item : *found) {
+  for (const json& item : *value) {
     const std::string path =
         FieldPath(name) + "[" + std::to_string(index++) + "]";
     if (!item.is_object())
@@ -75,10 +75,10 @@
 }
 
 std::string JsonSection::Text(const char* name) const {
-  const json* found = Find(name);
-  if (found && found->is_string() && !found->get<std::string>().empty())
-    return found->get<std::string>();
-  Report(name, "must be a non-empty string, " + DescribeFound(found));
+  const json* value = Find(name);
+  if (value && value->is_string() && !value->get<std::string>().empty())
+    return value->get<std::string>();
+  Report(name, "must be a non-empty string, " + DescribeFound(value));
   return "";
 }
 
@@ -98,13 +98,13 @@
 }
 
 double JsonSection::Number(const char* name, const NumberRange& range) const {
-  const json* found = Find(name);
-  if (found && found->is_number()) {
-    const double number = found->get<double>();
+  const json* value = Find(name);
+  if (value && value->is_number()) {
+    const double number = value->get<double>();
     if (range.Contains(number)) return number;
   }
   Report(name,
-         "must be a number " + range.Describe() + ", " + DescribeFound(found));
+         "must be a number " + range.Describe() + ", " + DescribeFound(value));
   return range.min;
 }
 
--- a/src/http/buffered_stream.cc
+++ b/src/http/buffered_stream.cc
@@ -49,13 +49,13 @@
 
 bool BufferedStream::Flush() {
   RestartDeadline();
-  size_t sent = 0;
-  while (sent < unsent_.size()) {
+  size_t sent_bytes = 0;
+  while (sent_bytes < unsent_.size()) {
     const ssize_t count =
-        send(socket_, unsent_.data() + sent, unsent_.size() - sent,
+        send(socket_, unsent_.data() + sent_bytes, unsent_.size() - sent_bytes,
              MSG_NOSIGNAL | MSG_DONTWAIT);
     if (count > 0) {
-      sent += static_cast<size_t>(count);
+      sent_bytes += static_cast<size_t>(count);
       continue;
     }
     if (count == 0 || !IsTransientError() || !is_writable()) return false;
--- a/src/http/connection_table.cc
+++ b/src/http/connection_table.cc
@@ -24,9 +24,9 @@
 }
 
 Connection* ConnectionTable::FindIdle(int socket) {
-  auto found = connections_.find(socket);
-  if (found == connections_.end() || !found->second.is_idle) return nullptr;
-  return &found->second;
+  auto entry = connections_.find(socket);
+  if (entry == connections_.end() || !entry->second.is_idle) return nullptr;
+  return &entry->second;
 }
 
 void ConnectionTable::MarkIdle(Connection* connection, double now) {
--- a/src/peer/peer_connection.cc
+++ b/src/peer/peer_connection.cc
@@ -68,11 +68,12 @@
 bool WriteAll(int socket, const char* data, size_t size) {
   while (size > 0) {
     if (!WaitForSocket(socket, POLLOUT, kSendTimeoutMs)) return false;
-    const ssize_t sent = send(socket, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
-    if (sent < 0 && (errno == EINTR || errno == EAGAIN)) continue;
-    if (sent <= 0) return false;
-    data += sent;
-    size -= static_cast<size_t>(sent);
+    const ssize_t sent_bytes =
+        send(socket, data, size, MSG_NOSIGNAL | MSG_DONTWAIT);
+    if (sent_bytes < 0 && (errno == EINTR || errno == EAGAIN)) continue;
+    if (sent_bytes <= 0) return false;
+    data += sent_bytes;
+    size -= static_cast<size_t>(sent_bytes);
   }
   return true;
 }
--- a/src/peer/peer_status.capnp
+++ b/src/peer/peer_status.capnp
@@ -1,6 +1,6 @@
 # The message between controllers; PeerStatus in the code. Controllers of
-# different versions read each other's messages. So the file's id, the types, the
-# fields and their numbers must not change; only new fields may be added.
+# different versions read each other's messages, so the file's id, the types,
+# the fields and their numbers must not change; only new fields may be added.
 # tests/stored_forms_test.cc checks the encoded bytes.
 @0xb0d3f6a1c2947e58;
 
