--- a/src/core/controller/job_lifecycle.cc
+++ b/src/core/controller/job_lifecycle.cc
@@ -21,7 +21,7 @@
                                 {"team", job->spec().team}});
   // The queue is ranked at the next tick, not now: a failover adds hundreds of
   // jobs at once.
-  rank_timer_.Trigger();
+  rank_timer_.MakeDue();
   completions_->Restore(job);
   if (job->progress.done.size() == job->spec().tasks)
     job_finisher_->Enqueue(id);
@@ -55,7 +55,7 @@
 }
 
 void JobLifecycle::RankQueueIfDue() {
-  if (rank_timer_.Due(context_->now))
+  if (rank_timer_.RestartIfDue(context_->now))
     jobs_->Rank(*settings_, context_->wall_time);
 }
 
--- a/src/core/controller/leader_role.cc
+++ b/src/core/controller/leader_role.cc
@@ -96,7 +96,7 @@
     recovery_.RetryIfDue();
     return;
   }
-  if (health_timer_.Due(context_->now)) {
+  if (health_timer_.RestartIfDue(context_->now)) {
     health_monitor_.CheckMachines();
     // The health monitor may have resigned the leadership, which clears the
     // state that the steps below use.
@@ -110,31 +110,31 @@
   rebalancer_.Tick(election_->MayDispatch());
   PreemptForServices();
   job_lifecycle_.RankQueueIfDue();
-  if (context_->debug && team_usage_timer_.Due(context_->now))
+  if (context_->debug && team_usage_timer_.RestartIfDue(context_->now))
     statistics_.LogTeamUsage();
   PlacePending();
 }
 
 void LeaderRole::CommitResults() {
-  if (!commit_timer_.Due(context_->now)) return;
+  if (!commit_timer_.RestartIfDue(context_->now)) return;
   job_finisher_.CommitJobEnds();
   completions_.Write();
 }
 
 void LeaderRole::ApplyPolicies() {
-  if (!policy_timer_.Due(context_->now)) return;
+  if (!policy_timer_.RestartIfDue(context_->now)) return;
   waiting_.Tick();
   replicas_.StopReplicasOnDepartingMachines();
   if (election_->MayDispatch()) placement_.PreemptForGuarantees();
 }
 
 void LeaderRole::PreemptForServices() {
-  if (!preemption_timer_.Due(context_->now)) return;
+  if (!preemption_timer_.RestartIfDue(context_->now)) return;
   if (election_->MayDispatch()) preemption_.PreemptForServices();
 }
 
 void LeaderRole::PlacePending() {
-  if (!placement_timer_.Due(context_->now)) return;
+  if (!placement_timer_.RestartIfDue(context_->now)) return;
   unreconciled_.ReserveCapacityIn(&placement_);
   if (election_->MayDispatch()) placement_.RunPass(election_->term());
 }
--- a/src/core/controller/peer_status_exchange.h
+++ b/src/core/controller/peer_status_exchange.h
@@ -33,7 +33,7 @@
 
   // Returns whether a broadcast is due. If so, the next one is due
   // kPeerStatusIntervalS later.
-  bool BroadcastDue() { return timer_.Due(context_->now); }
+  bool BroadcastDue() { return timer_.RestartIfDue(context_->now); }
   // Sends a message to all peers, and stores `counts` in this node's job cache.
   // `counts` are those of all jobs on the leader, and empty on other nodes.
   void Broadcast(const std::vector<JobCounts>& counts);
--- a/src/server/metrics.cc
+++ b/src/server/metrics.cc
@@ -22,13 +22,13 @@
                            double seconds) {
   requests_.Add({{"kind", kind}, {"status", std::to_string(status)}})
       .Increment();
-  static const prometheus::Histogram::BucketBoundaries kBuckets{
+  static const prometheus::Histogram::BucketBoundaries kBucketsS{
       0.002, 0.01, 0.05, 0.2, 1, 4};
-  durations_.Add({{"kind", kind}}, kBuckets).Observe(seconds);
+  durations_.Add({{"kind", kind}}, kBucketsS).Observe(seconds);
 }
 
 template <typename Number>
-void Metrics::Set(const char* name, Number value) {
+void Metrics::SetGauge(const char* name, Number value) {
   gauges_.Add({{"of", name}}).Set(static_cast<double>(value));
 }
 
@@ -42,45 +42,45 @@
 }
 
 void Metrics::PublishLeadership(const Controller::Statistics& statistics) {
-  Set("leading", statistics.leading);
-  Set("may_launch", statistics.may_dispatch);
-  Set("may_answer_workers", statistics.may_renew_worker_leases);
-  Set("term", statistics.term);
+  SetGauge("leading", statistics.leading);
+  SetGauge("may_launch", statistics.may_dispatch);
+  SetGauge("may_answer_workers", statistics.may_renew_worker_leases);
+  SetGauge("term", statistics.term);
 }
 
 void Metrics::PublishWork(const SchedulerStatistics& statistics) {
-  Set("jobs", statistics.jobs);
-  Set("tasks_pending", statistics.pending_tasks);
-  Set("tasks_placed", statistics.placed_tasks);
-  Set("speculative_kills", statistics.speculative_kills);
+  SetGauge("jobs", statistics.jobs);
+  SetGauge("tasks_pending", statistics.pending_tasks);
+  SetGauge("tasks_placed", statistics.placed_tasks);
+  SetGauge("speculative_kills", statistics.speculative_kills);
 }
 
 void Metrics::PublishMachines(const SchedulerStatistics& statistics) {
-  Set("machines", statistics.machines);
-  Set("machines_base", statistics.baseline_machines);
-  Set("machines_unaccounted", statistics.unreconciled_machines);
-  Set("base_target_cpus", statistics.baseline_target_cpus);
-  Set("rented_to_the_end", statistics.kept_on_rented_machines);
+  SetGauge("machines", statistics.machines);
+  SetGauge("machines_base", statistics.baseline_machines);
+  SetGauge("machines_unaccounted", statistics.unreconciled_machines);
+  SetGauge("base_target_cpus", statistics.baseline_target_cpus);
+  SetGauge("rented_to_the_end", statistics.kept_on_rented_machines);
 }
 
 void Metrics::PublishPredictor(const SchedulerStatistics& statistics) {
-  Set("predictor_samples", statistics.predictor_samples);
-  Set("predictor_error_seconds", statistics.predictor_error_s);
-  Set("predictor_matthews", statistics.predictor_matthews_correlation);
+  SetGauge("predictor_samples", statistics.predictor_samples);
+  SetGauge("predictor_error_seconds", statistics.predictor_error_s);
+  SetGauge("predictor_matthews", statistics.predictor_matthews_correlation);
 }
 
 void Metrics::PublishReplicas(const SchedulerStatistics& statistics) {
-  Set("replicas_wanted", statistics.replicas.wanted);
-  Set("replicas_running", statistics.replicas.running);
-  Set("replicas_restarted", statistics.replicas.restarted);
-  Set("replica_seconds_without", statistics.replicas.missing_replica_s);
+  SetGauge("replicas_wanted", statistics.replicas.wanted);
+  SetGauge("replicas_running", statistics.replicas.running);
+  SetGauge("replicas_restarted", statistics.replicas.restarted);
+  SetGauge("replica_seconds_without", statistics.replicas.missing_replica_s);
 }
 
 void Metrics::PublishLoadSpread(const SchedulerStatistics& statistics) {
-  Set("spread_imbalance", statistics.rebalancing.imbalance);
-  Set("moves_under_way", statistics.rebalancing.in_flight);
-  Set("moves_begun", statistics.rebalancing.started);
-  Set("moves_finished", statistics.rebalancing.finished);
+  SetGauge("spread_imbalance", statistics.rebalancing.imbalance);
+  SetGauge("moves_under_way", statistics.rebalancing.in_flight);
+  SetGauge("moves_begun", statistics.rebalancing.started);
+  SetGauge("moves_finished", statistics.rebalancing.finished);
   for (const MoveFailure failure :
        {MoveFailure::kTooLate, MoveFailure::kJobEnded, MoveFailure::kTargetLost,
         MoveFailure::kStartNotAllowed}) {
