--- a/src/core/balance/image_affinity.h
+++ b/src/core/balance/image_affinity.h
@@ -8,9 +8,9 @@
 
 // Returns the rank of the machine for the image by rendezvous hashing: among
 // otherwise equal machines the one with the lowest rank runs the image's tasks.
-// So few machines have to fetch the image, also under a new leader, which does
-// not know what the machines have cached. A machine that is added or removed
-// does not change the order of the others.
+// Only few machines then have to fetch the image, also under a new leader,
+// which does not know what the machines have cached. A machine that is added or
+// removed does not change the order of the others.
 uint64_t ImageAffinityRank(const std::string& image,
                            const std::string& machine);
 
--- a/src/core/balance/imbalance.h
+++ b/src/core/balance/imbalance.h
@@ -16,7 +16,8 @@
 // A machine whose load exceeds a bound, and by how many cores.
 struct CrowdedMachine {
   Machine* machine = nullptr;
-  // The excess over the total bound or the sum over teams, whichever is larger.
+  // The excess over the total bound or the sum of `excess_by_team`, whichever
+  // is larger.
   double excess_cpus = 0;
   std::map<std::string, double> excess_by_team;  // over the team's bound, cores
 };
--- a/src/core/balance/load_bounds.h
+++ b/src/core/balance/load_bounds.h
@@ -26,12 +26,14 @@
   void Update(double now);
 
   // The number of cores that may be in use on a machine, by all tasks and by
-  // the tasks of one team. Infinite if the cluster has no capacity.
+  // the tasks of one team. kNoLimit if the cluster has no capacity. 0 for a
+  // team that is not in the settings and has no job.
   double TotalBound(const Machine& machine) const;
   double TeamBound(const std::string& team, const Machine& machine) const;
 
   // Whether the machine stays within its bounds with one more task of the job.
-  // One task of a team is always allowed, however large.
+  // However large, a team's first task on the machine may exceed the team's
+  // bound, and the first task on an empty machine both bounds.
   bool AllowsTask(const Job& job, const Machine& machine) const;
 
   // Whether the machine takes part in load spread: it is in service and is not
--- a/src/core/balance/machine_sets.h
+++ b/src/core/balance/machine_sets.h
@@ -25,7 +25,7 @@
   void Clear();
   // Adds a possible target of moves. The pointer must stay valid until Clear.
   void Add(Machine* machine);
-  // The machine is no longer a target.
+  // Excludes the machine from the targets of moves.
   void Remove(const Machine& machine);
 
   // Returns the machines whose type, zone and spot flag the job allows.
--- a/src/core/balance/rebalancer.cc
+++ b/src/core/balance/rebalancer.cc
@@ -107,12 +107,13 @@
 
 void Rebalancer::MoveExcessTasks(CrowdedMachine* crowded) {
   Machine* machine = crowded->machine;
-  // Tasks that are being stopped count as gone.
+  // Tasks that are being stopped no longer count towards the excess.
   for (const auto& [task_id, attempt] : machine->attempts)
     if (attempt.stop) crowded->excess_cpus -= attempt.cpus;
   for (auto& [task_id, attempt] : machine->attempts) {
     if (crowded->excess_cpus <= 0) return;
     const std::string& team = attempt.record->spec.team;
+    // Where teams exceed their bounds, only their tasks are moved.
     double* team_excess = nullptr;
     if (!crowded->excess_by_team.empty()) {
       const auto excess = crowded->excess_by_team.find(team);
@@ -164,8 +165,8 @@
              static_cast<size_t>(spread_.max_concurrent_fetches);
 }
 
-// Samples a few machines that hold the image and takes the best, or else the
-// best of a few others: the power of d choices.
+// Takes the best of a few sampled machines that hold the image or, if none is
+// suitable, of a few sampled from all allowed ones: the power of d choices.
 Machine* Rebalancer::ChooseTarget(const Job& job, const Machine& from) {
   const JobSpec& spec = job.spec();
   const MachineSets::Set allowed = targets_.AllowedFor(spec);
--- a/src/core/balance/rebalancer.h
+++ b/src/core/balance/rebalancer.h
@@ -51,16 +51,17 @@
   // Measures the imbalance and, if `may_dispatch`, starts moves. Does nothing
   // unless moves are enabled in the settings.
   void Tick(bool may_dispatch);
-  // The task is proved to be off its machine and is pending again. If it is
-  // being moved, it is assigned to the target machine.
+  // Called after JobTable::MarkUnplaced, when the task is proved to be off its
+  // machine. If the task is being moved, it is assigned to the target machine
+  // or, where this is not possible, its move is abandoned.
   void OnTaskReleased(Job* job, uint32_t task, uint64_t term);
-  // The task is complete: its move, if any, is abandoned. Must be called before
-  // OnTaskReleased for the same attempt.
+  // Called when the task is complete: abandons its move, if any. Must be called
+  // before OnTaskReleased for the same attempt.
   void OnTaskDone(const std::string& job, uint32_t task);
   void OnJobEnded(const std::string& job);
-  // No tasks may be placed on the machine any more.
+  // Called when no tasks may be placed on the machine any more.
   void OnMachineGone(const std::string& machine);
-  // Records the run time of an array's task that ran to its end without
+  // Records the run time of a job array's task that ran to its end without
   // interruption.
   void LearnRunTime(const std::string& job, const std::string& machine,
                     double ran_s);
--- a/src/core/balance/speed_tracker.h
+++ b/src/core/balance/speed_tracker.h
@@ -11,11 +11,12 @@
 // owners' estimates have no influence.
 class SpeedTracker {
  public:
-  // A task of the job ran to its end on the machine without interruption.
+  // Called when a task of the job ran to its end on the machine without
+  // interruption.
   void LearnRunTime(const std::string& job, const std::string& machine,
                     double ran_s);
-  // Whether its tasks have recently taken at least kSlowMachineRatio times as
-  // long as the other tasks of their jobs.
+  // Whether the machine's tasks have recently taken at least kSlowMachineRatio
+  // times as long as the other tasks of their jobs.
   bool IsSlow(const std::string& machine) const;
 
   void ForgetJob(const std::string& job) { times_by_job_.erase(job); }
@@ -27,8 +28,8 @@
  private:
   struct JobTimes {
     uint64_t tasks = 0;
-    double mean_s =
-        0;  // without tasks that took kSlowMachineRatio times as long
+    // Run time, without tasks that took kSlowMachineRatio times as long.
+    double mean_s = 0;
   };
   struct MachineRatio {
     uint64_t samples = 0;
--- a/src/core/jobs/class_profile.h
+++ b/src/core/jobs/class_profile.h
@@ -14,8 +14,8 @@
 struct ClassProfile {
   double tasks = 0;  // number of tasks, smoothed over jobs
   JobSpec spec;      // of the latest job
-  std::deque<double>
-      arrivals;  // wall times (s), the latest kMaxArrivalsPerClass
+  // Wall times (s) of the latest arrivals, at most kMaxArrivalsPerClass.
+  std::deque<double> arrivals;
 };
 
 class ClassProfileTable {
--- a/src/core/jobs/job.h
+++ b/src/core/jobs/job.h
@@ -50,10 +50,11 @@
   bool wait_sampled = false;
 };
 
-// The failures of a job since one of its tasks last completed.
+// The failures of a job. `machines_failed_on`, `failed_rounds` and `retry_at`
+// are reset when a task completes or a replica becomes stable.
 struct FailureHistory {
   std::set<std::string> machines_failed_on;
-  int failed_rounds = 0;     // rounds of tries that failed in a row
+  int failed_rounds = 0;     // number of backoff pauses so far
   double retry_at = 0;       // no task of the job starts earlier
   double last_error_at = 0;  // 0 before the first failure
   // Failure counts of single tasks of a job whose other tasks succeed.
--- a/src/core/jobs/job_queue.h
+++ b/src/core/jobs/job_queue.h
@@ -11,7 +11,7 @@
 namespace sorrelwood {
 
 // Strict weak ordering of jobs: the first criterion in which two jobs differ
-// decides. The definition lists the criteria in this order, with their reasons.
+// decides. The definition lists the criteria in this order.
 struct QueueOrder {
   bool operator()(const Job* a, const Job* b) const;
 };
--- a/src/core/jobs/job_table.h
+++ b/src/core/jobs/job_table.h
@@ -23,7 +23,8 @@
   // unchanged. `version` is the record's version in the state service.
   Job* Add(std::shared_ptr<const LiveJob> record, uint64_t version,
            bool from_earlier_term, double now);
-  // Invalidates pointers to the job.
+  // Invalidates pointers to the job. The usage of its placed tasks remains, see
+  // AddOrphanedUsage.
   void Remove(const std::string& id);
   // Removes all jobs and usage; keeps what was learnt about job classes.
   void Clear();
@@ -69,19 +70,22 @@
     return profiles_.all();
   }
 
-  // Returns the usage of the team's placed tasks.
+  // Returns the usage of the team's placed tasks, including those that remain
+  // of jobs that have ended.
   TeamUsage UsageOf(const std::string& team) const {
     return usage_.UsageOf(team);
   }
-  // Adds usage of tasks that may still run on a machine although their job has
-  // ended; negative amounts remove it again.
+  // Changes the usage by tasks of a job that has ended. Remove keeps the usage
+  // of placed tasks, since they may still run; a negative amount here removes
+  // it once a task has left its machine.
   void AddOrphanedUsage(const std::string& team, double cpus, double gpus) {
     usage_.Add(team, cpus, gpus);
   }
 
  private:
   JobMap jobs_;
-  Job* last_found_ = nullptr;  // cache: a machine's tasks are of few jobs
+  // Speeds up repeated look-ups: a machine's tasks belong to few jobs.
+  Job* last_found_ = nullptr;
   JobQueue queue_;
   TeamUsageTable usage_;
   RunTimeEstimator run_times_;
--- a/src/core/jobs/queue_ranking.h
+++ b/src/core/jobs/queue_ranking.h
@@ -13,7 +13,7 @@
 
 namespace sorrelwood {
 
-// Holds the state of one ranking; not reusable.
+// Its state belongs to one ranking: Rank may be called once.
 class QueueRanking {
  public:
   // `settings` and `run_times` must outlive this object; `wall_s` is the
@@ -31,8 +31,8 @@
   void RankJob(Job* job);
   // Returns the number of tasks that are not done; 1 while the job is failing.
   static double CountTasksLeft(const Job& job);
-  // Adds the job to what its team requests. True if the requests of the team up
-  // to and including this job fit into the guarantee.
+  // Adds the tasks left of the job to the capacity that its team requests. True
+  // if the team's requests up to and including this job fit into its guarantee.
   bool ClaimGuarantee(const Job& job, const Team* team);
   void AddToBacklog(const Job& job, const Team& team);
   int SizeClass(const Job& job) const;
--- a/src/core/jobs/team_usage.h
+++ b/src/core/jobs/team_usage.h
@@ -1,5 +1,5 @@
-// Capacity used by the placed tasks of each team. Quotas and guarantees are
-// checked against it.
+// Capacity used by the tasks of each team that are on machines. Quotas and
+// guarantees are checked against it.
 #pragma once
 
 #include <map>
--- a/src/core/jobs/wait_features.h
+++ b/src/core/jobs/wait_features.h
@@ -11,12 +11,12 @@
 struct WaitFeatures {
   double cpu_utilisation = 0;     // of owned machines, 0 to 1
   double memory_utilisation = 0;  // of owned machines, 0 to 1
-  double running = 0;             // tasks on owned machines
+  double running = 0;             // attempts on owned machines, started or not
   double waiting = 0;             // pending tasks of all jobs
-  double running_mean_cpus = 0;   // mean CPUs of a running task
-  double running_mean_age_s = 0;  // mean time since a running task started
+  double running_mean_cpus = 0;   // mean CPUs of these attempts
+  double running_mean_age_s = 0;  // mean run time, 0 for one not started
   double waiting_mean_cpus = 0;   // mean CPUs of a pending task
-  double waiting_mean_age_s = 0;  // mean time since their jobs arrived
+  double waiting_mean_age_s = 0;  // mean time since the job's arrival
   double cpus = 0;                // CPUs that a task of the new job asks for
 };
 
--- a/src/core/machines/machine.cc
+++ b/src/core/machines/machine.cc
@@ -5,8 +5,8 @@
 namespace sorrelwood {
 namespace {
 
-// Differences between sums of resources (cores, devices, GB) that are not
-// larger come from rounding and count as none.
+// Sums of resources (cores, devices, GB) that differ by no more than this count
+// as equal: they drift by rounding.
 constexpr double kSumRounding = 1e-6;
 
 }  // namespace
--- a/src/core/machines/machine.h
+++ b/src/core/machines/machine.h
@@ -33,7 +33,8 @@
   // The time of the latest proof that a message of this leader arrived.
   // Heartbeats alone prove nothing: the network may drop only the responses.
   double last_delivery_proof_at = 0;
-  // Responses sent since then may not have arrived.
+  // Responses sent since then may not have arrived. Set at each proof, and at
+  // the first heartbeat after a long silence.
   double delivery_unproven_since = 0;
   // Heartbeats arrive, but no response has been proved to arrive for longer
   // than the worker's lease: heartbeats are refused until the lease has
@@ -69,7 +70,7 @@
   // (`recording`). No task is started there before it is recorded: a later
   // leader must know every machine on which tasks run.
   bool recorded = false, recording = false;
-  bool ever_reported = false;
+  bool ever_reported = false;  // in this term or an earlier one
   // A report carried this term's fencing token: the worker now rejects commands
   // of earlier leaders, and its reports are complete.
   bool token_acknowledged = false;
@@ -90,8 +91,9 @@
 
 // The autoscaler's reasons to keep or drain a machine.
 struct FleetRole {
-  bool baseline = false;    // part of the baseline (owned) capacity
-  bool excess = false;      // beyond the demand: gets no further tasks
+  bool baseline = false;  // part of the baseline (owned) capacity
+  // Beyond the demand: gets tasks only where no other machine fits.
+  bool excess = false;
   bool was_excess = false;  // in the previous planning pass
   // The machine runs replicas or holds headroom for them: it is neither idle
   // nor excess.
@@ -115,8 +117,10 @@
   // Completed attempts that are kept on the machine until their completion is
   // in the state service: attempt numbers by task.
   std::map<TaskId, uint64_t> unrecorded_completions;
-  std::vector<std::string> images;    // cached, most recently used last
-  std::vector<std::string> fetching;  // images being fetched
+  // Images that are cached or being fetched, as far as the leader knows from
+  // the attempts there; most recently used last.
+  std::vector<std::string> images;
+  std::vector<std::string> fetching;  // those of `images` being fetched
   // Used by `attempts`.
   double cpus_used = 0, gpus_used = 0, memory_used = 0;
   // Reserved for tasks that the rebalancer is moving there.
@@ -158,13 +162,16 @@
   // Adds an attempt and accounts for its resources on this machine. The caller
   // updates the job table (see AttemptTracker).
   void AddAttempt(const TaskId& task, TaskAttempt attempt);
-  // Removes an attempt from `attempts` in the same way, and returns it.
+  // Removes and returns an attempt, and releases its resources on this machine.
+  // The caller updates the job table.
   TaskAttempt RemoveAttempt(std::map<TaskId, TaskAttempt>::iterator entry);
-  // Whether the image is cached. True for an empty name: no image is needed.
+  // Whether the image is in `images`. True for an empty name: no image is
+  // needed.
   bool HasImage(const std::string& image) const;
-  // Marks the image as cached and most recently used.
+  // Makes the image the most recently used one of `images`; adds it if missing.
   void TouchImage(const std::string& image);
-  // Called when the fetch has ended or no attempt waits for it any more.
+  // Called when the fetch has ended or no attempt waits for it any more. The
+  // image stays in `images`.
   void FinishFetch(const std::string& image);
 
  private:
--- a/src/core/machines/task_attempt.h
+++ b/src/core/machines/task_attempt.h
@@ -16,8 +16,8 @@
   kConfirmed,   // the worker has reported the attempt
 };
 
-// From kDispatched on an attempt counts as present on its machine until there
-// is proof of its absence.
+// Once dispatched, an attempt counts as present on its machine until there is
+// proof of its absence.
 struct TaskAttempt {
   // Unique for the task. The upper half is the leader's term, see
   // docs/design.md.
@@ -32,7 +32,7 @@
   TaskState state = TaskState::kFetching;  // as last reported
   double running_since = 0;  // steady clock, s; 0: not running yet
   // The attempt runs on rented (not baseline) capacity and is subject to the
-  // speculation limit (PolicySettings::speculation_s).
+  // speculation limit (PolicySettings::speculation_limit_s).
   bool speculative = false;
   // Run time of earlier attempts of the task that were moved. It counts towards
   // the speculation limit too.
--- a/src/core/scheduling/admission.h
+++ b/src/core/scheduling/admission.h
@@ -15,7 +15,8 @@
 
 // The capacity that a pending task may be placed on.
 enum class CapacityClass {
-  kOwned,  // only owned machines: tasks that the waiting policy made wait
+  kOwned,  // only owned machines (FleetRole::baseline): tasks that the waiting
+           // policy requeued for them
   kAny,    // all machines: every other pending task
 };
 
@@ -26,10 +27,11 @@
             const ClusterSettings* settings)
       : context_(context), jobs_(jobs), settings_(settings) {}
 
-  // Sets the number of machines of an earlier term that have not reported yet
-  // and the usage that its tasks may have there. The usage counts against the
-  // quota of every team; otherwise a new leader could exceed a quota, since it
-  // doesn't know yet what the earlier leader placed.
+  // Sets the number of machines that an earlier leader may have used and that
+  // have not reported yet, and an upper bound of the usage by tasks that this
+  // leader doesn't know. The usage counts against the quota of every team;
+  // otherwise a new leader could exceed a quota, since it doesn't know yet what
+  // the earlier leader placed.
   void set_unreconciled(int machines, double cpus, double gpus) {
     unreconciled_machines_ = machines;
     unreconciled_cpus_ = cpus;
@@ -37,17 +39,20 @@
   }
   int unreconciled_machines() const { return unreconciled_machines_; }
 
-  // True if the job has a pending task and may start it now. It may not while
-  // it is ending, pauses before a retry, already tries one task after failures,
-  // or may have tasks of an earlier term on machines that have not reported
-  // yet.
+  // True if the job has pending tasks and may start one now. It may not while
+  // it is ending, pauses before a retry, has its only allowed task placed (see
+  // Job::failing), or may have tasks of an earlier term on machines that have
+  // not reported yet. Quota and restart backoff of replicas are not checked.
   bool MayStartTask(const Job& job) const;
-  // Returns the pending task to start next on the given capacity, if any.
+  // Returns the pending task to start next on the given capacity, if any. The
+  // job must pass MayStartTask; only what placing a task changes is checked
+  // again.
   std::optional<uint32_t> NextRunnableTask(const Job& job,
                                            CapacityClass capacity) const;
 
   // True if the team stays within its quota with one more task of the job;
-  // false for an unknown team.
+  // false for an unknown team. Unreconciled usage counts as the team's own, and
+  // for a job array also the quota that is reserved for services.
   bool WithinQuota(const Job& job) const;
   // True if the team stays within its guarantee with one more task of the job;
   // false for an unknown team.
--- a/src/core/scheduling/bin_packing.h
+++ b/src/core/scheduling/bin_packing.h
@@ -23,12 +23,14 @@
 struct FitScore {
   // Machines chosen for draining come last.
   bool draining = false;
-  // Tasks that must start immediately prefer machines that hold their image.
+  // The image must be fetched, for a task that must start immediately.
   bool fetch_delays_start = false;
-  // Replicas of a service are placed on different machines if possible.
+  // Number of replicas of the same service on the machine; 0 for a job array.
+  // Machines with fewer are preferred.
   size_t replicas_of_job = 0;
   // Tasks that must start immediately prefer the machine that reports next,
-  // which is the one with the oldest heartbeat. 0 for all other tasks.
+  // which is the one with the oldest heartbeat: start commands are sent in
+  // responses to heartbeats. 0 for all other tasks.
   double last_heartbeat_at = 0;
   // Owned machines are preferred: they cost the same whether used or idle.
   bool rented = false;
@@ -41,7 +43,8 @@
   double cpus_free = 0;
   // The image must be fetched, however quickly.
   bool needs_fetch = false;
-  // Load spread: concentrates the tasks that use an image on few machines.
+  // Load spread: concentrates the tasks that use an image on few machines. 0
+  // while load spread is off.
   uint64_t tie_break = 0;
 
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14.
--- a/src/core/scheduling/eligibility.cc
+++ b/src/core/scheduling/eligibility.cc
@@ -68,8 +68,8 @@
 bool Eligibility::IsEligibleAfterLeaving(const Job& job, const Machine& machine,
                                          const Machine& from) const {
   if (IsEligible(job, machine)) return true;
-  // In the same zone the moving task may itself be the only obstacle: its
-  // place counts towards the zone limits until it has left.
+  // In the same zone the moving task may itself be the only obstacle: it counts
+  // towards the zone limits until it has left.
   return machine.type && machine.zone == from.zone &&
          AllowsLocation(job.spec(), *machine.type, machine.zone, machine.spot);
 }
--- a/src/core/scheduling/guarantee_deficit.h
+++ b/src/core/scheduling/guarantee_deficit.h
@@ -19,15 +19,15 @@
                    const Eligibility* eligibility)
       : jobs_(jobs), admission_(admission), eligibility_(eligibility) {}
 
-  // Returns those of the jobs that still have a task to place in the guarantee
-  // pass.
+  // Returns those of the jobs that have a task to place in the guarantee pass.
+  // After that pass these are the jobs for whose next task it found no room.
   std::vector<const Job*> FindJobsInDeficit(
       const std::vector<Job*>& jobs) const;
 
   // True if the job may not use the machine because a job in deficit could run
   // there. Otherwise long tasks beyond a guarantee would take, core by core,
   // the capacity that a larger guaranteed task waits for. Tasks expected to end
-  // within the boot time of a new machine are let through.
+  // within the boot time of such a machine are not held back.
   bool IsWithheldFrom(const Job& job, const Machine& machine,
                       const std::vector<const Job*>& in_deficit) const;
 
--- a/src/core/scheduling/guarantee_preemption.cc
+++ b/src/core/scheduling/guarantee_preemption.cc
@@ -32,7 +32,8 @@
 }
 
 bool GuaranteePreemption::Demand::IsOpen() const {
-  // A task that asks for 0 CPUs would never use up the guarantee.
+  // Without the minimum, a task that asks for 0 CPUs would be covered by a
+  // guarantee that is used up.
   const double cpus = std::max(job->spec().cpus, kResourceRounding);
   return tasks >= 1 && *unused_guarantee_cpus >= cpus;
 }
@@ -48,7 +49,7 @@
     for (const bool may_preempt : {false, true})
       CoverDemand(&demand, may_preempt);
   }
-  rooms_.clear();  // its pointers to tasks are valid during this run only
+  rooms_.clear();  // the pointers to attempts are valid during this run only
 }
 
 void GuaranteePreemption::MeasureTeams() {
@@ -113,8 +114,8 @@
     TaskAttempt* attempt = room->preemptible.back();
     room->preemptible.pop_back();
     double& beyond = cpus_beyond_guarantee_[attempt->record->spec.team];
-    // Tasks of this team have been stopped on other machines since the room was
-    // measured; a team is not pushed below its own guarantee.
+    // Other tasks of this team may have been stopped since the room was
+    // measured; its usage is not reduced below its own guarantee.
     if (beyond < attempt->cpus) continue;
     beyond -= attempt->cpus;
     StopWithCheckpoint(attempt);
--- a/src/core/scheduling/headroom.cc
+++ b/src/core/scheduling/headroom.cc
@@ -33,8 +33,8 @@
       std::count_if(arrivals.begin(), arrivals.end(), [&](double arrived_at) {
         return context_->wall_time - arrived_at < kArrivalWindowS;
       });
-  // The window starts at the oldest known arrival, so that the rate of a new
-  // class isn't underestimated.
+  // The window starts at the oldest known arrival if that is within it, so that
+  // the rate of a new class isn't underestimated.
   const double span_s = std::clamp(context_->wall_time - *first,
                                    kMinArrivalSpanS, kArrivalWindowS);
   const double jobs_per_boot =
--- a/src/core/scheduling/immediate_start_reserves.h
+++ b/src/core/scheduling/immediate_start_reserves.h
@@ -31,8 +31,8 @@
         settings_(settings),
         eligibility_(eligibility) {}
 
-  // Called when later changes to machines may go uncounted: the next
-  // MeasureIfStale measures again.
+  // Must be called when a pass skips Measure: the reserves may then be
+  // outdated, and the next MeasureIfStale measures again.
   void Invalidate() { stale_ = true; }
   void Measure();
   void MeasureIfStale() {
@@ -43,8 +43,9 @@
 
   // True if the job's class has a reserve.
   bool IsReservedFor(const Job& job) const;
-  // True if a further task of the job on the machine leaves every reserve
-  // covered that the job may not use.
+  // False if one more task of the job on the machine takes free slots of a
+  // class whose reserve the job may not use, and the remaining slots don't
+  // cover the reserve.
   bool LeavesReservesCovered(const Job& job, const Machine& machine) const;
 
  private:
--- a/src/core/scheduling/placement.cc
+++ b/src/core/scheduling/placement.cc
@@ -73,7 +73,10 @@
                                 const std::vector<Machine*>& candidates,
                                 const std::vector<const Job*>& in_deficit,
                                 Restrictions restrictions, uint64_t term) {
-  // Fills each best fit before the next search: it stays the best until full.
+  // Fills each best fit before the next search. For a job array it stays the
+  // best until it is full or crowded. For a service it may not
+  // (replicas_of_job), so that several replicas of one pass may be placed on
+  // the same machine.
   while (admission_.NextRunnableTask(*job, restrictions.capacity) &&
          admission_.WithinQuota(*job) &&
          (!restrictions.guarantee_pass || admission_.InGuaranteePass(*job))) {
--- a/src/core/scheduling/preemption.cc
+++ b/src/core/scheduling/preemption.cc
@@ -116,7 +116,7 @@
                          : 0;
   if (spec.cpus > 0) pending = MakeRoomUnderQuota(job, pending);
   if (pending == 0) return;
-  // Collected after the tasks stopped for the quota, so that their capacity
+  // Collected after tasks were stopped for the quota, so that their capacity
   // counts as coming free.
   if (rooms->empty()) *rooms = CollectRooms();
   std::map<std::string, uint32_t> planned_in_zone;
--- a/src/core/scheduling/preemption.h
+++ b/src/core/scheduling/preemption.h
@@ -49,8 +49,8 @@
   // Stops tasks until the pending replicas of the job fit. `rooms` is collected
   // when first needed and shared by all jobs of one run.
   void MakeRoomFor(const Job& job, std::vector<Room>* rooms);
-  // Returns the tasks with the least lost work whose stop would make a task of
-  // the job fit; no tasks if it can't fit.
+  // Returns tasks to stop so that a task of the job fits, chosen by ascending
+  // lost work; no tasks if it fits already or can't fit.
   Victims ChooseVictims(const Job& job, const Room& room) const;
   // Stops lower-priority tasks of the same team if the team's CPU quota is too
   // small to run `pending` further tasks of the job. Returns how many of them
@@ -58,7 +58,8 @@
   uint32_t MakeRoomUnderQuota(const Job& job, uint32_t pending);
   // True if the attempt may be stopped for a task of the job.
   static bool MayStopFor(const Job& job, const TaskAttempt& attempt);
-  // Returns the work lost by stopping the attempt (core-seconds).
+  // Returns the work lost by stopping the attempt (core-seconds): the time to
+  // save a checkpoint or, without checkpoints, the whole run so far.
   double LostCoreSeconds(const TaskAttempt& attempt) const;
 
   Context* context_;
--- a/src/core/scheduling/slots.h
+++ b/src/core/scheduling/slots.h
@@ -9,8 +9,8 @@
 
 namespace sorrelwood {
 
-// Returns the slots in the free capacity of the machine. 0 if the class doesn't
-// allow the machine, or if the machine is chosen for draining.
+// Returns the slots in the free capacity of the machine. 0 if the class's jobs
+// don't allow its type, zone or spot flag, or if it is chosen for draining.
 double FreeSlots(const Machine& machine, const ClassProfile& profile);
 // The free slots after placing one more task, of specification `task`.
 double FreeSlotsAfterPlacing(const Machine& machine,
--- a/src/core/scheduling/wait_predictor.cc
+++ b/src/core/scheduling/wait_predictor.cc
@@ -6,8 +6,8 @@
 namespace sorrelwood {
 namespace {
 
-// Least reduction of the squared error (s^2) by a split. Excludes reductions
-// that are rounding errors.
+// A node is split only where the split reduces the sum of squared errors (s^2)
+// of its samples by more than this.
 constexpr double kMinSplitGain = 1e-9;
 
 }  // namespace
--- a/src/core/scheduling/wait_predictor.h
+++ b/src/core/scheduling/wait_predictor.h
@@ -30,10 +30,10 @@
 
   size_t sample_count() const { return samples_.size(); }
   // Mean absolute error (s) of the predictions made for samples before they
-  // were learnt.
+  // were learnt; 0 before the first one.
   double mean_absolute_error_s() const;
   // Matthews correlation of predicted and observed short waits, which are those
-  // below PolicySettings::wait_limit_s.
+  // below PolicySettings::wait_limit_s. 0 where it is undefined.
   double matthews_correlation() const;
 
  private:
@@ -43,14 +43,15 @@
   };
   struct Node {
     int feature = -1;  // index into FeatureVector; -1 for a leaf
-    // Values below the threshold go left. `value` is the mean wait (s).
+    // Samples whose feature is below the threshold go left. `value` is the mean
+    // wait (s) of the node's samples.
     double threshold = 0, value = 0;
     int left = 0, right = 0;  // indices of child nodes; unused in a leaf
   };
   using Tree = std::vector<Node>;
 
-  // Adds to the tree a node for samples [begin, end), which it reorders, and
-  // its descendants. Returns the index of the node.
+  // Adds a node for samples [begin, end) and its descendants to the tree.
+  // Reorders these samples. Returns the index of the node.
   int Grow(Tree* tree, std::vector<const Sample*>& samples, size_t begin,
            size_t end, int depth);
 
--- a/src/core/scheduling/waiting_policy.cc
+++ b/src/core/scheduling/waiting_policy.cc
@@ -83,7 +83,8 @@
         continue;
       Job* job = jobs_->Find(task_id.job);
       if (!job || job->spec().IsService()) continue;
-      // Without a fitted predictor every task waits for owned capacity.
+      // Before the predictor is fitted every task is requeued for owned
+      // capacity.
       const auto predicted_wait_s =
           predictor_.Predict(ToVector(ObserveCluster(job->spec().cpus)));
       attempt.stop = true;
--- a/src/core/scheduling/waiting_policy.h
+++ b/src/core/scheduling/waiting_policy.h
@@ -1,9 +1,9 @@
 // The waiting policy decides which tasks run on rented machines. A task may
-// start there speculatively. One that has run for t (speculation_limit_s) is
+// start there speculatively. After it has run for t (speculation_limit_s) it is
 // stopped: if its predicted wait for owned capacity is shorter than b
-// (wait_limit_s), it is requeued for owned capacity, otherwise it runs on a
-// rented machine to its end. A task that has waited for b also runs on a rented
-// machine to its end.
+// (wait_limit_s), it is requeued for owned capacity; otherwise it is requeued
+// and may run on a rented machine to its end. So may a task that was requeued
+// for owned capacity and has waited for b since then.
 #pragma once
 
 #include "core/engine/context.h"
@@ -23,8 +23,9 @@
         policy_(policy),
         predictor_(policy, seed) {}
 
-  // Refits the predictor when the fit interval has passed, and decides on the
-  // tasks that have reached one of the two limits.
+  // Refits the predictor when the fit interval has passed, records the state of
+  // the cluster for new jobs, and decides on the tasks that have reached one of
+  // the two limits.
   void Tick();
   // Called when a task of the job starts. The first start on an owned machine
   // gives the predictor a sample of the job's wait.
@@ -33,7 +34,7 @@
   const WaitPredictor& predictor() const { return predictor_; }
   // Tasks stopped at the speculation limit.
   uint64_t speculative_kills() const { return speculative_kills_; }
-  // Tasks sent to rented machines because they reached the wait limit.
+  // Tasks that may run on rented machines because they reached the wait limit.
   uint64_t rented_to_end() const { return rented_to_end_; }
 
  private:
