--- a/src/base/constants.h
+++ b/src/base/constants.h
@@ -1,7 +1,9 @@
-// The tuning constants of sorrelwood. Names end in their unit: S is seconds,
-// Ms milliseconds. A share is a fraction of 1. Properties of a cluster (machine
-// types, leases, rates) do not belong here: they come from the settings file
-// and the cloud's catalogue.
+// The tuning constants of sorrelwood. Names of durations end in S (seconds) or
+// Ms (milliseconds), names of sizes in Bytes, Kib or Mib. A share is a fraction
+// of 1, a ratio a multiple of another value, a learning rate a weight from 0 to
+// 1; other names or their comments say what is counted. Properties of a cluster
+// (machine types, leases, rates) do not belong here: they come from the
+// settings file and the cloud's catalogue.
 #pragma once
 
 #include <cstddef>
@@ -31,7 +33,9 @@
 // second for a slow answer.
 inline constexpr double kDispatchMaxCacheAgeS = 5.0;
 
-// Pause between two attempts to acquire the leader key.
+// Pause between two attempts to acquire the leader key. After a failed attempt
+// a random part of up to the same length is added, so that nodes do not
+// collide.
 inline constexpr double kElectionRetryS = 0.4;
 
 // A leader resigns when it is in contact with less than this share of its
@@ -68,9 +72,10 @@
 // kTickIntervalS, means that the process was paused and received no messages.
 inline constexpr double kProcessPauseThresholdS = 1.0;
 
-// A leader stops answering heartbeats this long before the end of the period
-// for which its successor expects such answers. Covers a slow thread and the
-// network.
+// Allowance for a slow thread and the network. A leader without contact to the
+// state service stops renewing worker leases this much earlier than
+// cancel_deadline_s requires, and a start command counts as lost this much
+// later than the time-outs require.
 inline constexpr double kWorkerLeaseMarginS = 2.0;
 
 // A worker drops answers to heartbeats that take longer (protocol).
@@ -94,7 +99,8 @@
 // Time beyond kWatchDurationS after which a watch times out.
 inline constexpr double kWatchTimeoutMarginS = 3.0;
 
-// Completed tasks are collected for this duration before they are written.
+// Completed tasks and ended jobs are collected for this duration before they
+// are written.
 inline constexpr double kCompletionBatchS = 0.25;
 
 // Share of the service's write rate that the leader uses; the rest is for
@@ -139,8 +145,8 @@
 // the records of the whole fleet.
 inline constexpr int kListPageItems = 1000;
 
-// A node is cut off from the service when the service has answered most other
-// nodes this long after it began to refuse this one.
+// A node is cut off from the state service when at least half of all nodes were
+// served more than this long after the service began to refuse this one.
 inline constexpr double kCutOffThresholdS = 1.0;
 
 // --- User requests ---
@@ -191,8 +197,9 @@
 // a burst of heartbeats, less than a second's work on the smallest machine.
 inline constexpr size_t kMinInputQueueLimit = 150;
 
-// The limit of queued inputs is one for this number of workers that may be
-// connected, where that is more: a larger fleet sends larger bursts.
+// In a large fleet one input may be queued for each group of this many workers
+// that may be connected, if that is more than kMinInputQueueLimit: a larger
+// fleet sends larger bursts.
 inline constexpr size_t kWorkersPerQueuedInput = 8;
 
 // Final job states kept in memory; older ones are read again on request.
@@ -200,6 +207,9 @@
 
 inline constexpr uint32_t kMaxTasksPerJob = 100000;
 inline constexpr size_t kMaxRequestBodyBytes = size_t{64} * 1024;
+
+// Longest id, and longest of most other strings that are parsed, such as names
+// of classes, teams and images.
 inline constexpr size_t kMaxIdBytes = 100;
 
 // --- Workers ---
@@ -207,15 +217,16 @@
 // Pause before a new leader retries a failed read of its records.
 inline constexpr double kRecoveryRetryS = 0.3;
 
-// How often the contact with all machines is checked: well within one heartbeat
-// interval, so that silence is noticed within it.
+// How often the contact with all machines is checked: several times in one
+// heartbeat interval, so that silence is noticed soon.
 inline constexpr double kHealthCheckIntervalS = 0.5;
 
 // A machine is silent after this many heartbeat intervals without contact.
 inline constexpr double kSilentHeartbeatIntervals = 4.5;
 
 // Silent machines are released early only while they are at most this share of
-// the fleet: beyond it the fault is more likely the leader's own network.
+// the fleet, or a single machine: beyond it the fault is more likely the
+// leader's own network.
 inline constexpr double kEarlyReleaseMaxShare = 0.34;
 
 // Time that a worker may need to stop its tasks once its lease has expired.
@@ -228,7 +239,8 @@
 // worker leases later: many lost machines are likely to come back.
 inline constexpr double kLongLostWorkerLeases = 2.0;
 
-// How often the fencing token is pushed to a silent machine.
+// How often the fencing token is pushed to a machine that is silent or has not
+// acknowledged it in time.
 inline constexpr double kPushIntervalS = 1.0;
 
 // Time-out of the response to pushed commands.
@@ -240,12 +252,12 @@
 inline constexpr double kTokenAckHeartbeatIntervals = 2.0;
 
 // Machines that block failover recovery are released only while they are at
-// most this share of the fleet: if there are more, they are likely to be cut
-// off.
+// most this share of the fleet, or a single machine: if there are more, they
+// are likely to be cut off.
 inline constexpr double kBlockingMachineMaxShare = 0.05;
 
-// CPUs, and GPUs, that a machine of unknown type is assumed to hold: more than
-// any limit.
+// Cores, and GPUs, that a machine of unknown type counts against each team's
+// limit while it may run unknown tasks: more than any limit.
 inline constexpr double kUnknownTypeCapacity = 1e9;
 
 // A machine is quarantined when, since a task last succeeded there, this many
@@ -268,20 +280,28 @@
 // itself.
 inline constexpr int kBrokenTaskFailures = 3;
 
-// Exponential backoff of a job whose tasks fail: the pause after the first
-// failure.
+// Base of the exponential backoff. A failing job (kFailingJobMachines)
+// pauses for twice this after the first failed round, four times this after the
+// second, and so on. A replica is restarted without a pause after its first
+// early end, and after this pause after the second. A job that a worker does
+// not know is retried after this pause.
 inline constexpr double kJobRetryPauseS = 2.0;
 
-// The longest pause of a job's backoff.
+// The longest pause of the backoff.
 inline constexpr double kJobRetryPauseMaxS = 60.0;
 
-// Most doublings of the pause that are computed; as many exceed
-// kJobRetryPauseMaxS.
+// Most doublings of kJobRetryPauseS that are computed: with that many the pause
+// already exceeds kJobRetryPauseMaxS.
 inline constexpr int kJobRetryPauseMaxDoublings = 10;
 
 // How long a job avoids a machine that it failed on.
 inline constexpr double kSuspectMachineAvoidS = 20.0;
 
+// A quarantined machine on which only jobs failed that have not succeeded
+// anywhere yet is kept for this duration before its release, while these jobs
+// are tried elsewhere.
+inline constexpr double kSuspectReleaseDelayS = 20.0;
+
 // A machine that refused a start for lack of room gets no tasks for this
 // duration.
 inline constexpr double kRefusedStartPauseS = 3.0;
@@ -328,8 +348,8 @@
 // With more candidate machines a pass considers a sample of this size.
 inline constexpr size_t kSampleMachines = 400;
 
-// Machines that hold the image of one of this many first jobs come into the
-// sample first.
+// Jobs from the front of a pass whose images matter for the sample: machines of
+// the baseline and machines that hold one of these images are taken first.
 inline constexpr size_t kSampleImageJobs = 8;
 
 // A fetch that takes more than this share of a task's run time is long: a
@@ -338,7 +358,8 @@
 
 // --- Run time estimates ---
 
-// Lower bound of the estimate that a job's owner gives.
+// Lower bound of the estimate that a job's owner gives, and of the time that a
+// running task is expected to go on.
 inline constexpr double kMinEstimateS = 1.0;
 
 // Largest factor, up or down, by which the owners' estimates of a class are
@@ -358,8 +379,9 @@
 // and a fault of the machine or of the job shows within half a second.
 inline constexpr double kReplicaStableS = 10.0;
 
-// A replica on a departing machine is stopped when no more than this remains,
-// even if it has no place elsewhere: time for a heartbeat and the stop.
+// A replica on a departing machine is stopped when no more than this remains
+// until the cloud reclaims the machine, even if the replica has no place
+// elsewhere: time for a heartbeat and the stop.
 inline constexpr double kReplicaForcedStopS = 3.0;
 
 // Headroom for future replicas: arrivals of a class are counted over this
@@ -376,8 +398,8 @@
 inline constexpr double kHeadroomRetentionS = 600.0;
 
 // A class whose tasks must start at once and which has had no job yet may need
-// any machine: this many of the cheapest ordinary ones are kept, spread over
-// the zones.
+// any machine: the capacity of this many machines of the cheapest type is kept,
+// spread over the zones.
 inline constexpr double kUnseenClassHeadroomMachines = 6.0;
 
 // Latest arrivals remembered of each class.
@@ -388,9 +410,9 @@
 
 // --- Queue order ---
 
-// Up to this age a job that has missed all of its objectives comes after
-// others, and a large job after small ones of its team. Shorter than the
-// longest sustained overload, so that no job waits for ever.
+// A younger job comes after others if it has missed all of its objectives, and
+// after smaller jobs of its team. Beyond this age neither delays it further, so
+// that no job waits forever: the longest sustained overload lasts longer.
 inline constexpr double kOrderByObjectiveMaxAgeS = 300.0;
 
 // From this age on a job of which nothing has run comes before all others: the
@@ -411,8 +433,8 @@
 // which may preempt it again.
 inline constexpr double kReserveYieldS = 30.0;
 
-// Largest share of the slots of the whole fleet that is reserved for one class,
-// services excepted.
+// Largest share of the slots (places for one task) of the whole fleet that is
+// reserved for one class, services excepted.
 inline constexpr double kReserveMaxShare = 0.12;
 
 // Lower bound of the CPUs of a task when slots are counted.
@@ -445,15 +467,15 @@
 // Weight of one more task in the smoothed ratio of a machine.
 inline constexpr double kSpeedLearningRate = 0.3;
 
-// Tasks that must have been compared before a machine counts as slow.
+// Tasks of a machine that must have been compared before it counts as slow.
 inline constexpr uint64_t kMinSpeedSamples = 4;
 
-// A job's mean run time is compared with once this many of its tasks have
-// completed.
+// Run times of a job's tasks on different machines are compared with their mean
+// once this many of its tasks have completed.
 inline constexpr uint64_t kMinTasksForMeanRun = 5;
 
-// A shorter mean run time is not compared with: the interval of heartbeats
-// makes it inaccurate.
+// Run times are not compared if their mean is shorter: the interval of
+// heartbeats makes it inaccurate.
 inline constexpr double kMinMeanRunS = 4.0;
 
 // --- Cloud ---
@@ -540,12 +562,12 @@
 // checkpoint.
 inline constexpr double kDrainGraceMarginS = 1.0;
 
-// A task may be stopped to be moved if it saves its checkpoint within this
-// time.
+// A task may be stopped to be moved or preempted if it saves its checkpoint
+// within this time.
 inline constexpr double kMaxCheckpointSaveS = 5.0;
 
-// A task may be stopped to be moved once it has run for longer than this: a
-// start that is undone within 30 s counts for no objective.
+// A task may be stopped to be moved or preempted once it has run for longer
+// than this: a start that is undone within 30 s counts for no objective.
 inline constexpr double kMinRunBeforeMoveS = 32.0;
 
 // A booting machine counts in full as capacity for this many boot times of its
@@ -673,10 +695,12 @@
 // Share of all connections for users.
 inline constexpr double kUserConnectionShare = 0.3;
 
-// A controller with fewer connections is of no use.
+// Settings that allow fewer connections are rejected: the controller would be
+// of no use.
 inline constexpr size_t kMinConnections = 40;
 
-// A controller with fewer request threads is of no use.
+// Settings that allow fewer request threads are rejected: the controller would
+// be of no use.
 inline constexpr size_t kMinRequestThreads = 16;
 
 // --- HTTP connections ---
--- a/src/core/autoscaling/baseline.h
+++ b/src/core/autoscaling/baseline.h
@@ -19,8 +19,9 @@
         share_of_guarantees_(policy.baseline_initial_share),
         smoothing_s_(policy.baseline_smoothing_s) {}
 
-  // Starts a term. The baseline's initial and maximum size is the share in the
-  // operators' settings of `guaranteed_cpus`, the sum of the teams' guarantees.
+  // Starts a term. `guaranteed_cpus`: the sum of the teams' guarantees. The
+  // baseline starts at its maximum size, which is the share
+  // `baseline_initial_share` of them.
   void Reset(double guaranteed_cpus);
 
   // Updates the target from the load and marks the machines of the baseline
@@ -28,8 +29,9 @@
   // target. Called every kPlanIntervalS.
   void SelectMachines();
 
-  // Adds machines to `plan` until they and `expected_cpus`, the capacity
-  // without them, reach the target.
+  // Adds machines to `plan` until the capacity reaches the target.
+  // `expected_cpus`: the capacity before, including the machines already in
+  // `plan`.
   void Plan(double expected_cpus, ScaleOutPlan* plan) const;
 
   double target_cpus() const { return target_cpus_; }
--- a/src/core/autoscaling/expected_capacity.h
+++ b/src/core/autoscaling/expected_capacity.h
@@ -23,8 +23,9 @@
   double free_cpu_seconds = 0;
 };
 
-// Whether the machine counts as capacity: it is up or booting, and is neither
-// lost nor about to be removed.
+// Whether the machine, up or booting, counts as capacity: its type is known and
+// its existence confirmed, and it is neither quarantined, unreachable, being
+// released nor under a preemption notice.
 bool CountsAsCapacity(const Machine& machine);
 
 class ExpectedCapacity {
--- a/src/core/autoscaling/headroom_planner.cc
+++ b/src/core/autoscaling/headroom_planner.cc
@@ -106,6 +106,7 @@
 
 void HeadroomPlanner::Plan(ScaleOutPlan* plan) {
   for (Headroom& need : ComputeNeeds()) {
+    // Replicas that are waiting now need slots besides the headroom.
     for (const auto& [id, job] : jobs_->all())
       if (job->spec().job_class == need.job_class && !job->failing())
         need.slots += job->progress.pending.size();
@@ -148,9 +149,9 @@
 void HeadroomPlanner::AddEmptyMachines(const Headroom& need,
                                        const MachineType& type,
                                        const std::string& zone, bool spot,
-                                       double machines, ZoneSlots* free) {
+                                       double machine_count, ZoneSlots* free) {
   if (AllowsLocation(need.profile.spec, type, zone, spot))
-    free->slots[zone] += machines * SlotsOnType(type, need.profile);
+    free->slots[zone] += machine_count * SlotsOnType(type, need.profile);
 }
 
 const Offer* HeadroomPlanner::FindCheapestOffer(const ClassProfile& profile,
--- a/src/core/autoscaling/headroom_planner.h
+++ b/src/core/autoscaling/headroom_planner.h
@@ -65,11 +65,11 @@
   void PlanNeed(const Headroom& need, ScaleOutPlan* plan) const;
   ZoneSlots CountExpectedSlots(const Headroom& need,
                                const ScaleOutPlan& plan) const;
-  // Adds the slots of `machines` empty machines to `free`, if replicas may run
-  // there.
+  // Adds the slots of `machine_count` empty machines to `free`, if replicas may
+  // run there. The count is a fraction for a machine whose boot is late.
   static void AddEmptyMachines(const Headroom& need, const MachineType& type,
                                const std::string& zone, bool spot,
-                               double machines, ZoneSlots* free);
+                               double machine_count, ZoneSlots* free);
   // Null if no offer is suitable.
   const Offer* FindCheapestOffer(const ClassProfile& profile,
                                  const ZoneSlots& free) const;
--- a/src/core/autoscaling/idle_releaser.h
+++ b/src/core/autoscaling/idle_releaser.h
@@ -26,8 +26,8 @@
   void OnWorkBlocked() { work_blocked_at_ = context_->now; }
 
   // Releases machines whose boot has timed out, and empty ones that are faulty,
-  // under a preemption notice, or idle for longer than the operators' hold
-  // time. The baseline and machines for services are never idle.
+  // under a preemption notice, or idle for longer than `idle_release_delay_s`.
+  // Machines of the baseline and for services are not released as idle.
   void Run();
 
   // Called when leadership is lost.
--- a/src/core/autoscaling/inventory_reconciler.cc
+++ b/src/core/autoscaling/inventory_reconciler.cc
@@ -98,9 +98,9 @@
 }
 
 // The machine was provisioned before this leader was elected. An inventory that
-// is later by more than the lag lacks it only if it no longer exists and the
-// removal of its record was lost. Prevents a takeover from waiting for any
-// number of machines that no longer exist.
+// was read later than that by more than the lag lacks it only if the machine no
+// longer exists and the removal of its record was lost. Without this check a
+// takeover would wait for such machines.
 bool InventoryReconciler::IsMissingAtTakeover(const Machine& machine,
                                               double read_started_at) const {
   return machine.lifecycle.from_earlier_term && !machine.lifecycle.listed &&
--- a/src/core/autoscaling/inventory_reconciler.h
+++ b/src/core/autoscaling/inventory_reconciler.h
@@ -51,12 +51,12 @@
   void ReleaseUnlisted(const std::set<std::string>& listed,
                        double read_started_at);
   // Whether the machine, which is not in the inventory read at
-  // `read_started_at`, was recorded by an earlier leader and has never been in
-  // an inventory of this leader.
+  // `read_started_at`, was recorded by an earlier leader, has never been in an
+  // inventory of this leader, and is silent.
   bool IsMissingAtTakeover(const Machine& machine,
                            double read_started_at) const;
-  // Whether the machine was in the inventory, and has been missing for longer
-  // than the inventory may lag.
+  // Whether the machine, which was in the inventory, has been missing from it
+  // for longer than it may lag, and is silent.
   bool HasLeft(const Machine& machine) const;
   bool IsSilent(const Machine& machine) const;
 
--- a/src/core/autoscaling/premium_scale_out.h
+++ b/src/core/autoscaling/premium_scale_out.h
@@ -48,7 +48,8 @@
   bool MayNeedPremium(const Job& job) const;
   // The time within which the job must be done.
   double ComputeAllowedTimeS(const Job& job, double longest_boot_s) const;
-  // The most that the limit of the job's team allows within `allowed_s`.
+  // The most CPU seconds that the limit of the job's team allows within
+  // `allowed_s`.
   double ComputeTeamLimitCpuSeconds(const Job& job, double allowed_s) const;
 
   const Context* context_;
--- a/src/core/autoscaling/provisioning_requests.cc
+++ b/src/core/autoscaling/provisioning_requests.cc
@@ -121,8 +121,9 @@
     return;
   }
   if (result.outcome != Outcome::kOk) {
-    // The call may have been carried out. It is idempotent: for the same name
-    // the cloud provisions machines only once and returns the same answer.
+    // Either the call was not sent in time, or it may have been carried out. A
+    // retry is safe: for the same name the cloud provisions machines only once
+    // and returns the same answer.
     request.state = ProvisioningState::kDue;
     request.next_call_at = context_->now + kProvisioningRetryS;
     return;
--- a/src/core/autoscaling/provisioning_requests.h
+++ b/src/core/autoscaling/provisioning_requests.h
@@ -65,7 +65,8 @@
   struct Request {
     ProvisioningState state = ProvisioningState::kRecording;
     ProvisioningRecord record;
-    double requested_at = 0;  // by this leader (steady clock, s)
+    // When this leader made the request or took it over (steady clock, s).
+    double requested_at = 0;
     double next_call_at = 0;  // steady clock, s; 0: at once
     // Machines in the answer that have no record yet.
     std::set<std::string> unrecorded_machines;
--- a/src/core/autoscaling/release_reason.h
+++ b/src/core/autoscaling/release_reason.h
@@ -6,7 +6,7 @@
 namespace sorrelwood {
 
 enum class ReleaseReason {
-  kIdle,               // idle for longer than the operators' hold time
+  kIdle,               // idle for longer than idle_release_delay_s
   kFaulty,             // quarantined: tasks fail because of the machine
   kBootTimeout,        // it sent no heartbeat in time
   kPreempted,          // an empty spot machine under a preemption notice
--- a/src/core/engine/actions.h
+++ b/src/core/engine/actions.h
@@ -25,11 +25,11 @@
   bool remove = false;
   std::string key;
   std::string value;   // JSON text
-  uint64_t lease = 0;  // whose end removes the key; 0: no lease
+  uint64_t lease = 0;  // the key is removed when it ends; 0: no lease
 };
 
-// Which connection carries a request. They are separate so that a slow request
-// does not delay those of another kind.
+// Which group of connections carries a request. They are separate so that a
+// slow request does not delay those of another group.
 enum class StateConnection { kLeaseRenewal, kLeader, kUser, kPoll };
 
 struct StateTransaction {
@@ -51,7 +51,7 @@
 struct StateWatch {
   uint64_t id = 0;
   std::string prefix;
-  uint64_t after = 0;  // revision
+  uint64_t after = 0;  // revision after which changes are reported
 };
 struct LeaseCreate {
   uint64_t id = 0;
@@ -133,9 +133,9 @@
 
 struct KeyValue {
   std::string key;
-  std::string value;
+  std::string value;  // JSON text; empty if removed
   uint64_t version = 0;
-  bool removed = false;
+  bool removed = false;  // only in the result of a watch
 };
 
 // Which limit of the state service a refused transaction exceeded.
@@ -151,11 +151,11 @@
   uint64_t id = 0;
   Outcome outcome = Outcome::kUnknown;
   StateRefusal refusal = StateRefusal::kNone;  // with kRefused
-  uint64_t revision = 0;
+  uint64_t revision = 0;  // of the store; the next watch starts after it
   // Keys whose preconditions did not hold.
   std::vector<std::string> failed_preconditions;
   std::vector<KeyValue> items;  // get, list, watch
-  uint64_t lease = 0;
+  uint64_t lease = 0;           // of a new lease
   // Watch: changes after the revision asked for are no longer kept, so the keys
   // must be listed again.
   bool too_old = false;
@@ -164,11 +164,11 @@
 struct CloudResult {
   uint64_t id = 0;
   Outcome outcome = Outcome::kUnknown;
-  bool no_capacity = false;
-  bool too_late = false;  // not sent, because `not_after` had passed
-  std::vector<MachineType> types;
-  std::vector<std::string> machines;
-  std::vector<ListedMachine> listed;
+  bool no_capacity = false;        // provisioning refused for lack of capacity
+  bool too_late = false;           // not sent, because `not_after` had passed
+  std::vector<MachineType> types;  // FetchCatalog
+  std::vector<std::string> machines;  // ProvisionMachines: names
+  std::vector<ListedMachine> listed;  // ListCloudMachines
 };
 
 struct PushResult {
--- a/src/core/engine/context.h
+++ b/src/core/engine/context.h
@@ -91,7 +91,7 @@
     Log(LogLevel::kError, std::move(message), std::move(fields));
   }
 
-  // Run the callback that waits for the result.
+  // Each function runs the callback that waits for the result.
   void Deliver(const StateResult& result) {
     if (result.outcome == Outcome::kRefused ||
         result.outcome == Outcome::kUnknown) {
@@ -132,7 +132,7 @@
     cloud_callbacks_[next_id_] = std::move(on_result);
     return next_id_++;
   }
-  // Calls and removes the callback of a result. A duplicate result has none and
+  // Removes and calls the callback of a result. A duplicate result has none and
   // is ignored.
   template <typename Callbacks, typename Result>
   void RunCallback(Callbacks& callbacks, const Result& result) {
--- a/src/core/model/heartbeat.h
+++ b/src/core/model/heartbeat.h
@@ -39,9 +39,9 @@
   bool saved = false;  // a checkpoint was written
 };
 
-// Identifies one heartbeat of a machine, in the order in which the worker sent
-// them: a restarted agent has a higher incarnation and numbers its heartbeats
-// from the beginning.
+// Identifies a heartbeat of a machine. Ids compare in the order in which the
+// worker sent the heartbeats: a restarted agent has a higher incarnation and
+// numbers its heartbeats from the beginning.
 struct HeartbeatId {
   uint64_t incarnation = 0, sequence = 0;
 
--- a/src/core/model/job.h
+++ b/src/core/model/job.h
@@ -30,7 +30,7 @@
   double image_gb = 0;
   std::vector<std::string> types;  // machine types allowed; empty: any
   std::string zone;                // empty: any
-  bool one_zone = false;           // all tasks run in one zone, of any name
+  bool one_zone = false;           // all tasks run in the same zone, whichever
   bool spread = false;             // tasks are spread over zones
   bool spot = false;               // may run on preemptible machines
   double estimate_s = 0;           // the owner's estimate of a task's run time
--- a/src/core/model/peer_status.h
+++ b/src/core/model/peer_status.h
@@ -1,4 +1,5 @@
-// The status that each controller sends to the others once a second.
+// The status that each controller sends to the others every
+// kPeerStatusIntervalS.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +18,9 @@
   bool leader = false;       // the sender leads
   // Time since the state service last served the sender.
   uint32_t state_served_ago_ms = 0;
-  std::vector<JobCounts> jobs;  // only from the leader: those that changed
+  // Only from the leader: jobs whose counts have changed, and all of them in
+  // one of kMessagesPerFullPeerStatus messages.
+  std::vector<JobCounts> jobs;
 };
 
 }  // namespace sorrelwood
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -12,7 +12,8 @@
 
 namespace sorrelwood {
 
-// The limit of a team that may use all capacity the other teams leave unused.
+// Where there is no limit, e.g. for a team that may use all capacity that the
+// other teams leave unused.
 inline constexpr double kNoLimit = std::numeric_limits<double>::infinity();
 
 // Quotas of a team: its guarantee and its limit.
@@ -26,9 +27,11 @@
 
 // A service-level objective, set by the operators.
 struct Objective {
-  std::string kind;       // "deadline", "wait", "finished", "guarantee", ...
-  std::string job_class;  // jobs it applies to; empty: all
-  double within_s = 0;    // time limit, for the kinds that have one
+  // "deadline", "wait" or "finished"; other kinds have no effect.
+  std::string kind;
+  // Class of the jobs it applies to. Empty: it applies to no job.
+  std::string job_class;
+  double within_s = 0;         // time limit, for the kinds that have one
   double deadline_factor = 1;  // multiple of a job's own deadline
 };
 
@@ -76,11 +79,14 @@
 };
 
 // The operators' own settings (src/config/operator.proto), after validation.
+// Machines of the baseline are owned, all others are rented.
 struct PolicySettings {
-  // A task that has run for this time on a rented machine is killed and
-  // requeued for the baseline (`t` in the paper).
+  // A task that has run for this time on a rented machine is stopped, and may
+  // be requeued for the baseline (`t` of the waiting policy, see
+  // core/scheduling/waiting_policy.h).
   double speculation_limit_s = 900;
-  // The longest time that a job waits for the baseline (`b` in the paper).
+  // The longest time that a job waits for the baseline (`b` of the
+  // waiting policy).
   double wait_limit_s = 10800;
   // Idle time before a rented machine is released.
   double idle_release_delay_s = 10;
@@ -89,7 +95,8 @@
   double backlog_limit_s = 30;
   // The same limit for renting machines far more expensive than the cheapest.
   double premium_backlog_limit_s = 300;
-  // Size of the baseline at the start, as a share of all guaranteed cores.
+  // Initial and maximum size of the baseline, as a share of all guaranteed
+  // cores.
   double baseline_initial_share = 0.1;
   // Time constant of the smoothing with which the baseline follows the load.
   double baseline_smoothing_s = 30;
--- a/src/core/model/spread_settings.h
+++ b/src/core/model/spread_settings.h
@@ -10,10 +10,11 @@
   bool placement = false;
   // Move running tasks off machines whose load exceeds their bounds.
   bool moves = false;
-  // How far a machine's load may exceed its even share of the demand, as a
-  // fraction of that share.
+  // How far a machine's load bound lies above its even share of the demand, as
+  // a fraction of that share.
   double headroom = 0.25;
-  // Imbalance is the fraction of all cores in use that lies above the bounds.
+  // Imbalance is the fraction of all cores in use that are used beyond the load
+  // bounds of their machines.
   // Moves start once it has been at least `start_imbalance` for
   // `min_imbalance_duration_s`, and stop when it is below `stop_imbalance`.
   double start_imbalance = 0.15;
--- a/src/core/workers/quarantine.cc
+++ b/src/core/workers/quarantine.cc
@@ -46,7 +46,7 @@
         "fault; the machine receives tasks again",
         {{"machine", machine->name}});
   if (should_quarantine && !evidence.ProvesMachineFault())
-    health.suspect_until = context_->now + kSuspectMachineAvoidS;
+    health.suspect_until = context_->now + kSuspectReleaseDelayS;
   if (evidence.ProvesMachineFault()) StopAllAttempts(machine);
 }
 
--- a/src/protocol/field_names.h
+++ b/src/protocol/field_names.h
@@ -100,17 +100,17 @@
 inline constexpr char kStandard[] = "standard";
 inline constexpr char kLow[] = "low";
 
-// JobStatus; also kRunning.
+// JobStatus, with kRunning below.
 inline constexpr char kDone[] = "done";
 inline constexpr char kCancelled[] = "cancelled";
 inline constexpr char kQueued[] = "queued";
 
-// TaskState
+// TaskState. Any other text reads as kFetching.
 inline constexpr char kRunning[] = "running";
 inline constexpr char kSaving[] = "flushing";
 inline constexpr char kExited[] = "ended";
 
-// ExitReason; also kDone.
+// ExitReason, with kDone above. Any other text reads as kError.
 inline constexpr char kStopped[] = "halted";
 inline constexpr char kInsufficientResources[] = "full";
 inline constexpr char kOtherAttemptPresent[] = "in_use";
@@ -121,7 +121,7 @@
 inline constexpr char kStop[] = "halt";
 inline constexpr char kForget[] = "clear";
 
-// MachineStatus; also kRunning.
+// MachineStatus, with kRunning above. Any other text reads as kBooting.
 inline constexpr char kFailed[] = "failed";
 
 }  // namespace enum_name
