--- a/src/core/workers/quarantine.cc
+++ b/src/core/workers/quarantine.cc
@@ -49,7 +49,7 @@
   // The jobs may be at fault: they are tried elsewhere before the machine is
   // released.
   if (should_quarantine && !evidence.ProvesMachineFault())
-    health.suspect_until = context_->now + kSuspectMachineAvoidS;
+    health.suspect_until = context_->now + kSuspectReleaseDelayS;
   if (evidence.ProvesMachineFault()) StopAllAttempts(machine);
 }
 
