--- a/tests/simulation/action_digest.cc
+++ b/tests/simulation/action_digest.cc
@@ -12,79 +12,79 @@
 
 void ActionDigest::Add(int node, const Action& action) {
   if (std::holds_alternative<LogEvent>(action)) return;
-  Count(node);
-  Count(action.index());
-  std::visit([this](const auto& item) { Take(item); }, action);
+  AddInteger(node);
+  AddInteger(action.index());
+  std::visit([this](const auto& item) { AddFields(item); }, action);
 }
 
-void ActionDigest::Text(const std::string& text) {
-  Count(text.size());
+void ActionDigest::AddText(const std::string& text) {
+  AddInteger(text.size());
   hash_.Add(text.data(), text.size());
 }
 
-void ActionDigest::Number(double number) { hash_.Add(&number, sizeof(number)); }
+void ActionDigest::AddNumber(double number) { hash_.Add(&number, sizeof(number)); }
 
-void ActionDigest::Take(const StateTransaction& action) {
-  Count(action.id);
-  Count(static_cast<int>(action.connection));
-  Text(protocol::EncodeTransaction(action));
+void ActionDigest::AddFields(const StateTransaction& action) {
+  AddInteger(action.id);
+  AddInteger(static_cast<int>(action.connection));
+  AddText(protocol::EncodeTransaction(action));
 }
-void ActionDigest::Take(const StateGet& action) {
-  Count(action.id);
-  Count(static_cast<int>(action.connection));
-  Text(action.key);
+void ActionDigest::AddFields(const StateGet& action) {
+  AddInteger(action.id);
+  AddInteger(static_cast<int>(action.connection));
+  AddText(action.key);
 }
-void ActionDigest::Take(const StateList& action) {
-  Count(action.id);
-  Text(action.prefix);
+void ActionDigest::AddFields(const StateList& action) {
+  AddInteger(action.id);
+  AddText(action.prefix);
 }
-void ActionDigest::Take(const StateWatch& action) {
-  Count(action.id);
-  Text(action.prefix);
-  Count(action.after);
+void ActionDigest::AddFields(const StateWatch& action) {
+  AddInteger(action.id);
+  AddText(action.prefix);
+  AddInteger(action.after);
 }
-void ActionDigest::Take(const LeaseCreate& action) {
-  Count(action.id);
-  Number(action.ttl_s);
+void ActionDigest::AddFields(const LeaseCreate& action) {
+  AddInteger(action.id);
+  AddNumber(action.ttl_s);
 }
-void ActionDigest::Take(const LeaseRenew& action) {
-  Count(action.id);
-  Count(action.lease);
+void ActionDigest::AddFields(const LeaseRenew& action) {
+  AddInteger(action.id);
+  AddInteger(action.lease);
 }
-void ActionDigest::Take(const LeaseEnd& action) {
-  Count(action.id);
-  Count(action.lease);
+void ActionDigest::AddFields(const LeaseEnd& action) {
+  AddInteger(action.id);
+  AddInteger(action.lease);
 }
-void ActionDigest::Take(const FetchCatalog& action) { Count(action.id); }
-void ActionDigest::Take(const ProvisionMachines& action) {
-  Count(action.id);
-  Text(protocol::EncodeProvisioningRecord(action.record));
-  Number(action.not_after);
+void ActionDigest::AddFields(const FetchCatalog& action) { AddInteger(action.id); }
+void ActionDigest::AddFields(const ProvisionMachines& action) {
+  AddInteger(action.id);
+  AddText(protocol::EncodeProvisioningRecord(action.record));
+  AddNumber(action.not_after);
 }
-void ActionDigest::Take(const ReleaseMachines& action) {
-  Count(action.id);
-  Text(protocol::EncodeReleaseRequest(action.machines));
-  Number(action.not_after);
+void ActionDigest::AddFields(const ReleaseMachines& action) {
+  AddInteger(action.id);
+  AddText(protocol::EncodeReleaseRequest(action.machines));
+  AddNumber(action.not_after);
 }
-void ActionDigest::Take(const ListCloudMachines& action) { Count(action.id); }
-void ActionDigest::Take(const PushedCommands& action) {
-  Count(action.id);
-  Text(action.machine);
-  Text(protocol::EncodePushedCommands(action));
+void ActionDigest::AddFields(const ListCloudMachines& action) { AddInteger(action.id); }
+void ActionDigest::AddFields(const PushedCommands& action) {
+  AddInteger(action.id);
+  AddText(action.machine);
+  AddText(protocol::EncodePushedCommands(action));
 }
-void ActionDigest::Take(const ClientResponse& action) {
-  Count(action.request);
-  Count(action.status);
-  Text(action.body);
-  Number(action.retry_after_s);
+void ActionDigest::AddFields(const ClientResponse& action) {
+  AddInteger(action.request);
+  AddInteger(action.status);
+  AddText(action.body);
+  AddNumber(action.retry_after_s);
 }
-void ActionDigest::Take(const HeartbeatResponse& action) {
-  Count(action.request);
-  Count(action.status);
-  Text(protocol::EncodeHeartbeatResponse(action));
+void ActionDigest::AddFields(const HeartbeatResponse& action) {
+  AddInteger(action.request);
+  AddInteger(action.status);
+  AddText(protocol::EncodeHeartbeatResponse(action));
 }
-void ActionDigest::Take(const SendPeerStatus& action) {
-  Text(EncodePeerStatus(action.status));
+void ActionDigest::AddFields(const SendPeerStatus& action) {
+  AddText(EncodePeerStatus(action.status));
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/action_digest.h
+++ b/tests/simulation/action_digest.h
@@ -17,29 +17,29 @@
   uint64_t value() const { return hash_.value(); }
 
  private:
-  void Text(const std::string& text);
-  void Number(double number);
+  void AddText(const std::string& text);
+  void AddNumber(double number);
   template <typename Integer>
-  void Count(Integer number) {
+  void AddInteger(Integer number) {
     hash_.Add(&number, sizeof(number));
   }
 
-  void Take(const StateTransaction& action);
-  void Take(const StateGet& action);
-  void Take(const StateList& action);
-  void Take(const StateWatch& action);
-  void Take(const LeaseCreate& action);
-  void Take(const LeaseRenew& action);
-  void Take(const LeaseEnd& action);
-  void Take(const FetchCatalog& action);
-  void Take(const ProvisionMachines& action);
-  void Take(const ReleaseMachines& action);
-  void Take(const ListCloudMachines& action);
-  void Take(const PushedCommands& action);
-  void Take(const ClientResponse& action);
-  void Take(const HeartbeatResponse& action);
-  void Take(const SendPeerStatus& action);
-  void Take(const LogEvent&) {}  // LogSummary counts them
+  void AddFields(const StateTransaction& action);
+  void AddFields(const StateGet& action);
+  void AddFields(const StateList& action);
+  void AddFields(const StateWatch& action);
+  void AddFields(const LeaseCreate& action);
+  void AddFields(const LeaseRenew& action);
+  void AddFields(const LeaseEnd& action);
+  void AddFields(const FetchCatalog& action);
+  void AddFields(const ProvisionMachines& action);
+  void AddFields(const ReleaseMachines& action);
+  void AddFields(const ListCloudMachines& action);
+  void AddFields(const PushedCommands& action);
+  void AddFields(const ClientResponse& action);
+  void AddFields(const HeartbeatResponse& action);
+  void AddFields(const SendPeerStatus& action);
+  void AddFields(const LogEvent&) {}  // LogSummary counts them
 
   FnvHash hash_;
 };
--- a/tests/simulation/action_dispatcher.cc
+++ b/tests/simulation/action_dispatcher.cc
@@ -40,10 +40,10 @@
 }
 void ActionDispatcher::Perform(int controller,
                                const ProvisionMachines& provision) {
-  cluster_.cloud_network().SendInTime(controller, provision);
+  cluster_.cloud_network().SendBeforeDeadline(controller, provision);
 }
 void ActionDispatcher::Perform(int controller, const ReleaseMachines& release) {
-  cluster_.cloud_network().SendInTime(controller, release);
+  cluster_.cloud_network().SendBeforeDeadline(controller, release);
 }
 void ActionDispatcher::Perform(int controller, const ListCloudMachines& list) {
   cluster_.cloud_network().Send(controller, list);
@@ -58,8 +58,8 @@
 void ActionDispatcher::Perform(int controller, const PushedCommands& push) {
   EventQueue& events = cluster_.events();
   RandomSource& random = cluster_.random();
-  const ProcessId sender = cluster_.controllers().Current(controller);
-  events.After(cluster_.NetworkLatency(), [this, sender, push] {
+  const ProcessId sender = cluster_.controllers().CurrentProcess(controller);
+  events.After(cluster_.DrawNetworkLatency(), [this, sender, push] {
     ArriveAtWorker(sender, push, /*answer=*/true);
   });
   if (random.Chance(cluster_.options().late_probability))
@@ -77,8 +77,8 @@
                                       const PushedCommands& push, bool answer) {
   Worker* worker = cluster_.workers().Find(push.machine);
   if (!worker || !worker->up ||
-      !cluster_.workers().Connected(sender.controller, *worker) ||
-      !cluster_.workers().Receives(*worker))
+      !cluster_.workers().IsConnected(sender.controller, *worker) ||
+      !cluster_.workers().ReceivesMessages(*worker))
     return;
   PushResult result;
   result.id = push.id;
@@ -91,7 +91,7 @@
   }
   result.heartbeat = worker->MakeHeartbeat(cluster_.now());
   if (!answer) return;
-  cluster_.events().After(cluster_.NetworkLatency(), [this, sender, result] {
+  cluster_.events().After(cluster_.DrawNetworkLatency(), [this, sender, result] {
     cluster_.controllers().DeliverResult(sender, result);
   });
 }
@@ -102,10 +102,10 @@
     if (peer == controller ||
         cluster_.random().Chance(cluster_.options().loss_probability))
       continue;
-    if (!PeersConnected(controller, peer)) continue;
-    const ProcessId receiver = controllers.Current(peer);
+    if (!ArePeersConnected(controller, peer)) continue;
+    const ProcessId receiver = controllers.CurrentProcess(peer);
     cluster_.events().After(
-        cluster_.NetworkLatency(), [this, receiver, note = status.status] {
+        cluster_.DrawNetworkLatency(), [this, receiver, note = status.status] {
           cluster_.controllers().Deliver(
               receiver, [note](Controller& c, Controller::Time time) {
                 return c.OnPeerStatus(time, note);
@@ -114,7 +114,7 @@
   }
 }
 
-bool ActionDispatcher::PeersConnected(int sender, int receiver) const {
+bool ActionDispatcher::ArePeersConnected(int sender, int receiver) const {
   const SimulatedControllers& controllers = cluster_.controllers();
   const ControllerProcess& from = controllers.process(sender);
   const ControllerProcess& to = controllers.process(receiver);
@@ -122,8 +122,8 @@
   const double now = cluster_.now();
   const bool zones_connected =
       now >= faults.zone_partition_until_s || from.zone == to.zone;
-  return !controllers.Partitioned(sender) &&
-         !controllers.Partitioned(receiver) && zones_connected &&
+  return !controllers.IsPartitioned(sender) &&
+         !controllers.IsPartitioned(receiver) && zones_connected &&
          now >= faults.peer_messages_lost_until_s &&
          now >= from.partitioned_from_peers_until_s &&
          now >= to.partitioned_from_peers_until_s;
--- a/tests/simulation/action_dispatcher.h
+++ b/tests/simulation/action_dispatcher.h
@@ -36,7 +36,7 @@
   // The pushed commands reach their machine.
   void ArriveAtWorker(ProcessId sender, const PushedCommands& push,
                       bool answer);
-  bool PeersConnected(int sender, int receiver) const;
+  bool ArePeersConnected(int sender, int receiver) const;
 
   SimulatedCluster& cluster_;
 };
--- a/tests/simulation/clients.cc
+++ b/tests/simulation/clients.cc
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr double kCancelIntervalS = 2;
-constexpr double kPollIntervalDoneS = 15;  // of a job whose end was told
+constexpr double kEndedJobPollIntervalS = 15;  // of a job whose end was told
 constexpr double kPollOverloadFactor = 10;
 constexpr double kUnusualRequestIntervalS = 0.5;
 constexpr int kPollsOfEachController = 3;
@@ -23,7 +23,7 @@
   return response.status == 200 || response.status == 201;
 }
 
-ToldState ParseState(const ClientResponse& response) {
+ReportedState ParseState(const ClientResponse& response) {
   const auto says = [&](const char* text) {
     return response.body.find(text) != std::string::npos;
   };
@@ -63,9 +63,9 @@
 void SimulatedClients::Send(int controller, Kind kind, const JobSpec& spec,
                             uint64_t request) {
   SimulatedControllers& controllers = cluster_.controllers();
-  if (!controllers.ReachableByClients(controller)) return;
+  if (!controllers.IsReachableByClients(controller)) return;
   controllers.Deliver(
-      controllers.Current(controller),
+      controllers.CurrentProcess(controller),
       [request, kind, spec](Controller& receiver, Controller::Time time) {
         switch (kind) {
           case Kind::kSubmit: return receiver.Submit(time, request, spec);
@@ -98,8 +98,8 @@
         "job-7" + std::to_string(10000 + cluster_.random().Below(80000));
     Send(controller, Kind::kPoll, unknown, NewRequest(unknown.id, Kind::kPoll));
   }
-  const double interval_s = job.final_state_told
-                                ? kPollIntervalDoneS
+  const double interval_s = job.final_state_reported
+                                ? kEndedJobPollIntervalS
                                 : 4 + 2 * cluster_.random().Uniform();
   cluster_.events().After(interval_s / (overload ? kPollOverloadFactor : 1),
                           [this, id] { Poll(id); });
@@ -107,7 +107,7 @@
 
 void SimulatedClients::Cancel(const std::string& id) {
   ClientJob& job = Get(id);
-  if (job.final_state_told) return;
+  if (job.final_state_reported) return;
   if (job.accepted) {
     job.cancel_requested = true;
     const int controller = cluster_.controllers().DrawIndex();
@@ -133,17 +133,17 @@
   if (!IsSuccess(response)) {
     // It may have been recorded all the same.
     if (PollsOnChange() && request.kind == Kind::kSubmit && !job.accepted &&
-        cluster_.now() > job.polled_everywhere_s + 1)
+        cluster_.now() > job.last_poll_everywhere_s + 1)
       PollEverywhere(job);
     return;
   }
   job.last_answer_s = cluster_.now();
   CheckJobIsAcceptedOnce(cluster_, job, request, response);
   if (!job.accepted) OnAccepted(job);
-  const ToldState told = ParseState(response);
-  CheckFinalStateIsKept(cluster_, job, request, response, told);
-  if (told.done && job.told_done_s == 0) OnToldDone(job);
-  if (told.cancelled && job.told_cancelled_s == 0) OnToldCancelled(job);
+  const ReportedState reported = ParseState(response);
+  CheckFinalStateIsKept(cluster_, job, request, response, reported);
+  if (reported.done && job.reported_done_s == 0) OnReportedDone(job);
+  if (reported.cancelled && job.reported_cancelled_s == 0) OnReportedCancelled(job);
 }
 
 void SimulatedClients::OnAccepted(ClientJob& job) {
@@ -160,17 +160,17 @@
                             [this, id] { Cancel(id); });
 }
 
-void SimulatedClients::OnToldDone(ClientJob& job) {
-  job.told_done_s = cluster_.now();
-  job.final_state_told = true;
+void SimulatedClients::OnReportedDone(ClientJob& job) {
+  job.reported_done_s = cluster_.now();
+  job.final_state_reported = true;
   if (PollsOnChange()) PollEverywhere(job);
   ++cluster_.statistics().jobs_done;
   CheckDoneJobIsComplete(cluster_, job);
 }
 
-void SimulatedClients::OnToldCancelled(ClientJob& job) {
-  job.told_cancelled_s = cluster_.now();
-  job.final_state_told = true;
+void SimulatedClients::OnReportedCancelled(ClientJob& job) {
+  job.reported_cancelled_s = cluster_.now();
+  job.final_state_reported = true;
   if (PollsOnChange()) PollEverywhere(job);
   ++cluster_.statistics().jobs_cancelled;
 }
@@ -178,13 +178,13 @@
 void SimulatedClients::SendOnceAfter(double delay_s, int controller, Kind kind,
                                      const std::string& id) {
   cluster_.events().After(delay_s, [this, controller, kind, id] {
-    if (cluster_.controllers().ReachableByClients(controller))
+    if (cluster_.controllers().IsReachableByClients(controller))
       Send(controller, kind, Get(id).spec, NewRequest(id, kind));
   });
 }
 
 void SimulatedClients::PollEverywhere(ClientJob& job) {
-  job.polled_everywhere_s = cluster_.now();
+  job.last_poll_everywhere_s = cluster_.now();
   RandomSource& random = cluster_.random();
   for (int i = 0; i < cluster_.controllers().size(); ++i) {
     for (int poll = 0; poll < kPollsOfEachController; ++poll)
@@ -203,11 +203,11 @@
   auto it = jobs_.begin();
   std::advance(it, cluster_.random().Below(jobs_.size()));
   const ClientJob& job = *it->second;
-  if (job.told_done_s > 0)
+  if (job.reported_done_s > 0)
     SendOnceAfter(0, controller, Kind::kCancel, it->first);
   else if (job.accepted)
     SendOnceAfter(0, controller, Kind::kSubmit, it->first);
-  if (cluster_.controllers().ReachableByClients(controller))
+  if (cluster_.controllers().IsReachableByClients(controller))
     SubmitInvalidJob(controller, job.spec);
 }
 
@@ -230,7 +230,7 @@
     if (!worker->up) continue;
     for (const auto& [id, task] : worker->tasks) {
       const ClientJob& job = Get(id.job);
-      if (task.state != TaskState::kRunning || job.final_state_told ||
+      if (task.state != TaskState::kRunning || job.final_state_reported ||
           job.cancel_requested ||
           (running.size() >= count && !running.count(id.job)))
         continue;
@@ -251,8 +251,8 @@
   double sum_s = 0;
   double count = 0;
   for (const auto& [id, job] : jobs_) {
-    if (job->told_done_s == 0) continue;
-    sum_s += job->told_done_s - job->accepted_s;
+    if (job->reported_done_s == 0) continue;
+    sum_s += job->reported_done_s - job->accepted_s;
     ++count;
   }
   return count == 0 ? 0 : sum_s / count;
@@ -263,14 +263,14 @@
       std::count_if(jobs_.begin(), jobs_.end(), [](const auto& item) {
         const ClientJob& job = *item.second;
         return job.spec.IsService() && job.accepted &&
-               job.told_cancelled_s == 0;
+               job.reported_cancelled_s == 0;
       }));
 }
 
 std::string SimulatedClients::DescribeUnfinished() const {
   std::string text;
   for (const auto& [id, job] : jobs_) {
-    if (job->final_state_told) continue;
+    if (job->final_state_reported) continue;
     const JobSpec& spec = job->spec;
     text += id + " " + spec.team + " tasks " + std::to_string(spec.tasks) +
             " done " + std::to_string(job->completed.size()) + " cpus " +
--- a/tests/simulation/clients.h
+++ b/tests/simulation/clients.h
@@ -32,11 +32,11 @@
 
   // What the client asked for and was told.
   bool submitted = false, accepted = false, cancel_requested = false;
-  bool final_state_told = false;
+  bool final_state_reported = false;
   double accepted_s = 0;
-  double told_done_s = 0, told_cancelled_s = 0;
+  double reported_done_s = 0, reported_cancelled_s = 0;
   double last_answer_s = 0;
-  double polled_everywhere_s = 0;
+  double last_poll_everywhere_s = 0;
 
   // What the periodic checks remember of it.
   double waits_since_s = 0;     // beside free capacity that fits
@@ -53,7 +53,7 @@
 };
 
 // The state of a job that a controller tells in its answer.
-struct ToldState {
+struct ReportedState {
   bool done = false, cancelled = false;
 };
 
@@ -104,8 +104,8 @@
   void SubmitInvalidJob(int controller, JobSpec spec);
 
   void OnAccepted(ClientJob& job);
-  void OnToldDone(ClientJob& job);
-  void OnToldCancelled(ClientJob& job);
+  void OnReportedDone(ClientJob& job);
+  void OnReportedCancelled(ClientJob& job);
   bool PollsOnChange() const;
 
   SimulatedCluster& cluster_;
--- a/tests/simulation/cloud_network.cc
+++ b/tests/simulation/cloud_network.cc
@@ -31,21 +31,21 @@
   return cluster_.now() < cluster_.faults().cloud_outage_until_s;
 }
 
-void CloudNetwork::RefuseAsTooLate(int controller, uint64_t request) {
+void CloudNetwork::ReportTooLate(int controller, uint64_t request) {
   CloudResult result;
   result.id = request;
   result.outcome = Outcome::kRefused;
   result.too_late = true;
   cluster_.controllers().DeliverResult(
-      cluster_.controllers().Current(controller), result);
+      cluster_.controllers().CurrentProcess(controller), result);
 }
 
 void CloudNetwork::SendCall(int controller, const Call& call) {
   RandomSource& random = cluster_.random();
   const SimulationOptions& options = cluster_.options();
-  const ProcessId client = cluster_.controllers().Current(controller);
-  if (cluster_.controllers().Partitioned(controller)) {
-    CarryOutAfterPartition(client, call);
+  const ProcessId client = cluster_.controllers().CurrentProcess(controller);
+  if (cluster_.controllers().IsPartitioned(controller)) {
+    ServeAfterPartition(client, call);
     return;
   }
   const bool lost = random.Chance(options.loss_probability);
@@ -60,7 +60,7 @@
                           });
 }
 
-void CloudNetwork::CarryOutAfterPartition(ProcessId client, const Call& call) {
+void CloudNetwork::ServeAfterPartition(ProcessId client, const Call& call) {
   const ControllerProcess& process =
       cluster_.controllers().process(client.controller);
   cluster_.events().At(process.partitioned_until_s, [this, call] {
@@ -84,7 +84,7 @@
   }
   result.id = call.id;
   const bool unanswered = result.outcome == Outcome::kUnknown;
-  cluster_.events().After(unanswered ? kTimeoutS : cluster_.NetworkLatency(),
+  cluster_.events().After(unanswered ? kTimeoutS : cluster_.DrawNetworkLatency(),
                           [this, client, result] {
                             cluster_.controllers().DeliverResult(client,
                                                                  result);
--- a/tests/simulation/cloud_network.h
+++ b/tests/simulation/cloud_network.h
@@ -25,9 +25,9 @@
   // As the cloud's client does: what was decided before a pause is not sent
   // once another leader may act.
   template <typename Request>
-  void SendInTime(int controller, const Request& request) {
+  void SendBeforeDeadline(int controller, const Request& request) {
     if (SteadyClock(controller) > request.not_after)
-      RefuseAsTooLate(controller, request.id);
+      ReportTooLate(controller, request.id);
     else
       Send(controller, request);
   }
@@ -45,10 +45,10 @@
   CloudResult Serve(const ListCloudMachines& request);
 
   double SteadyClock(int controller) const;
-  void RefuseAsTooLate(int controller, uint64_t request);
+  void ReportTooLate(int controller, uint64_t request);
   void SendCall(int controller, const Call& call);
   // The call arrives when a partition ends; its client has given up by then.
-  void CarryOutAfterPartition(ProcessId client, const Call& call);
+  void ServeAfterPartition(ProcessId client, const Call& call);
   void Arrive(ProcessId client, const Call& call, bool lost, bool answer_lost);
   bool InOutage() const;
 
--- a/tests/simulation/controllers.cc
+++ b/tests/simulation/controllers.cc
@@ -37,7 +37,7 @@
     ControllerProcess& process = processes_.emplace_back();
     process.zone = zones[static_cast<size_t>(i) % zones.size()];
     process.clock_rate = 1.0 + 0.0005 * cluster_.random().Uniform();
-    process.knows_coming_limits = options.rolling_upgrade_at_s <= 0;
+    process.supports_upcoming_limits = options.rolling_upgrade_at_s <= 0;
     cluster_.events().At(0.1 * cluster_.random().Uniform(),
                          [this, i] { Start(i); });
   }
@@ -49,7 +49,7 @@
     cluster_.events().At(
         options.rolling_upgrade_at_s + i * options.rolling_upgrade_interval_s,
         [this, i] {
-          processes_[i].knows_coming_limits = true;
+          processes_[i].supports_upcoming_limits = true;
           Crash(i, kUpgradeRestartS);
         });
 }
@@ -59,13 +59,13 @@
   ClusterSettings settings = cluster_.settings();
   settings.node = "node-" + std::to_string(index);
   settings.zone = process.zone;
-  if (!process.knows_coming_limits) settings.next_state_limits.reset();
+  if (!process.supports_upcoming_limits) settings.next_state_limits.reset();
   ++process.generation;
   process.controller = std::make_unique<Controller>(
       settings, cluster_.options().policy, cluster_.random().Integer());
   process.controller->set_debug(cluster_.options().debug_log);
   process.up = true;
-  Tick(Current(index));
+  Tick(CurrentProcess(index));
 }
 
 void SimulatedControllers::Crash(int index, double restart_s) {
@@ -151,7 +151,7 @@
 }
 
 void SimulatedControllers::SendLater(int index, const Event& event) {
-  const ProcessId id = Current(index);
+  const ProcessId id = CurrentProcess(index);
   cluster_.events().After(kSendDelayS, [this, id, event] {
     const ControllerProcess& process = processes_[id.controller];
     if (!process.up || process.generation != id.generation) return;
@@ -179,11 +179,11 @@
   return static_cast<int>(cluster_.random().Below(processes_.size()));
 }
 
-bool SimulatedControllers::ReachableByClients(int index) const {
-  return processes_[index].up && !Partitioned(index);
+bool SimulatedControllers::IsReachableByClients(int index) const {
+  return processes_[index].up && !IsPartitioned(index);
 }
 
-bool SimulatedControllers::Partitioned(int index) const {
+bool SimulatedControllers::IsPartitioned(int index) const {
   return cluster_.now() < processes_[index].partitioned_until_s;
 }
 
--- a/tests/simulation/controllers.h
+++ b/tests/simulation/controllers.h
@@ -29,7 +29,7 @@
   std::string zone;
   double clock_rate = 1;  // seconds of its steady clock in one second
   // Whether it has the version that knows the state service's coming limits.
-  bool knows_coming_limits = true;
+  bool supports_upcoming_limits = true;
 
   // Injected faults, by the time at which they end (s).
   double state_refused_until_s = 0;
@@ -71,14 +71,14 @@
     return processes_[index];
   }
   // The process that the controller has now, or had last.
-  ProcessId Current(int index) const {
+  ProcessId CurrentProcess(int index) const {
     return {index, processes_[index].generation};
   }
   // Draws the controller that a client or a new worker turns to.
   int DrawIndex();
   // Whether requests of clients arrive.
-  bool ReachableByClients(int index) const;
-  bool Partitioned(int index) const;
+  bool IsReachableByClients(int index) const;
+  bool IsPartitioned(int index) const;
   // The controller that leads; -1: none.
   int LeaderIndex() const;
   // The controller's steady clock (s).
--- a/tests/simulation/fault_injector.cc
+++ b/tests/simulation/fault_injector.cc
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-const FaultInjector::HandlerOfKind FaultInjector::kHandlers[] = {
+const FaultInjector::FaultHandler FaultInjector::kHandlers[] = {
     {FaultKind::kLeaderCrash, &FaultInjector::CrashLeader},
     {FaultKind::kFollowerCrash, &FaultInjector::CrashFollower},
     {FaultKind::kAllControllersCrash, &FaultInjector::CrashAllControllers},
@@ -102,9 +102,9 @@
 
 void FaultInjector::Inject(const Fault& fault) {
   const Targets targets = DrawTargets(fault);
-  const bool known = BeginInCluster(fault) || BeginInMessages(fault) ||
-                     BeginInControllers(fault, targets) ||
-                     BeginInMachines(fault, targets) || Handle(fault, targets);
+  const bool known = BeginClusterFault(fault) || BeginMessageFault(fault) ||
+                     BeginControllerFault(fault, targets) ||
+                     BeginMachineFault(fault, targets) || RunHandler(fault, targets);
   if (!known) std::abort();  // the kind is missing in the tables
 }
 
@@ -117,19 +117,19 @@
       targets.running.push_back(worker.get());
   RandomSource& random = cluster_.random();
   if (!targets.running.empty())
-    targets.one = targets.running[random.Below(targets.running.size())];
-  targets.chosen = targets.running;
-  if (fault.count == 1 && targets.one) targets.chosen = {targets.one};
+    targets.random_machine = targets.running[random.Below(targets.running.size())];
+  targets.affected = targets.running;
+  if (fault.count == 1 && targets.random_machine) targets.affected = {targets.random_machine};
   if (fault.count > 1)
-    std::shuffle(targets.chosen.begin(), targets.chosen.end(), random.engine());
-  targets.chosen.resize(std::min(targets.chosen.size(), fault.count));
+    std::shuffle(targets.affected.begin(), targets.affected.end(), random.engine());
+  targets.affected.resize(std::min(targets.affected.size(), fault.count));
   targets.leader = cluster_.controllers().LeaderIndex();
   targets.follower =
       (std::max(targets.leader, 0) + 1) % cluster_.controllers().size();
   return targets;
 }
 
-bool FaultInjector::BeginInCluster(const Fault& fault) {
+bool FaultInjector::BeginClusterFault(const Fault& fault) {
   for (const ClusterFault& row : kClusterFaults) {
     if (row.kind != fault.kind) continue;
     cluster_.faults().*row.until_s = cluster_.now() + fault.for_s;
@@ -138,7 +138,7 @@
   return false;
 }
 
-bool FaultInjector::BeginInMessages(const Fault& fault) {
+bool FaultInjector::BeginMessageFault(const Fault& fault) {
   for (const MessageFault& row : kMessageFaults) {
     if (row.kind != fault.kind) continue;
     cluster_.faults().*row.fault = {cluster_.now() + fault.for_s, fault.share};
@@ -147,7 +147,7 @@
   return false;
 }
 
-bool FaultInjector::BeginInControllers(const Fault& fault,
+bool FaultInjector::BeginControllerFault(const Fault& fault,
                                        const Targets& targets) {
   bool known = false;
   for (const ControllerFault& row : kControllerFaults) {
@@ -162,19 +162,19 @@
   return known;
 }
 
-bool FaultInjector::BeginInMachines(const Fault& fault,
+bool FaultInjector::BeginMachineFault(const Fault& fault,
                                     const Targets& targets) {
   for (const MachineFault& row : kMachineFaults) {
     if (row.kind != fault.kind) continue;
-    for (Worker* worker : targets.chosen)
+    for (Worker* worker : targets.affected)
       worker->*row.until_s = cluster_.now() + fault.for_s;
     return true;
   }
   return false;
 }
 
-bool FaultInjector::Handle(const Fault& fault, const Targets& targets) {
-  for (const HandlerOfKind& row : kHandlers) {
+bool FaultInjector::RunHandler(const Fault& fault, const Targets& targets) {
+  for (const FaultHandler& row : kHandlers) {
     if (row.kind != fault.kind) continue;
     (this->*row.handler)(fault, targets);
     return true;
@@ -216,15 +216,15 @@
 }
 
 void FaultInjector::CrashMachines(const Fault&, const Targets& targets) {
-  for (Worker* worker : targets.chosen) cluster_.workers().Crash(*worker);
+  for (Worker* worker : targets.affected) cluster_.workers().Crash(*worker);
 }
 
 void FaultInjector::RestartMachine(const Fault&, const Targets& targets) {
-  if (targets.one) cluster_.workers().Restart(*targets.one);
+  if (targets.random_machine) cluster_.workers().Restart(*targets.random_machine);
 }
 
 void FaultInjector::MakeMachineFailTasks(const Fault&, const Targets& targets) {
-  if (targets.one) targets.one->fails_all_tasks = true;
+  if (targets.random_machine) targets.random_machine->fails_all_tasks = true;
 }
 
 void FaultInjector::LoseThirdOfMachines(const Fault& fault,
--- a/tests/simulation/fault_injector.h
+++ b/tests/simulation/fault_injector.h
@@ -29,21 +29,21 @@
  private:
   using Handler = void (FaultInjector::*)(const Fault& fault,
                                           const Targets& targets);
-  struct HandlerOfKind {
+  struct FaultHandler {
     FaultKind kind;
     Handler handler;
   };
   // Faults that do more than to last for some time.
-  static const HandlerOfKind kHandlers[];
+  static const FaultHandler kHandlers[];
 
   Targets DrawTargets(const Fault& fault);
   // Faults that last for some time, by what they concern. Whether the kind is
   // such a fault.
-  bool BeginInCluster(const Fault& fault);
-  bool BeginInMessages(const Fault& fault);
-  bool BeginInControllers(const Fault& fault, const Targets& targets);
-  bool BeginInMachines(const Fault& fault, const Targets& targets);
-  bool Handle(const Fault& fault, const Targets& targets);
+  bool BeginClusterFault(const Fault& fault);
+  bool BeginMessageFault(const Fault& fault);
+  bool BeginControllerFault(const Fault& fault, const Targets& targets);
+  bool BeginMachineFault(const Fault& fault, const Targets& targets);
+  bool RunHandler(const Fault& fault, const Targets& targets);
 
   void CrashLeader(const Fault& fault, const Targets& targets);
   void CrashFollower(const Fault& fault, const Targets& targets);
--- a/tests/simulation/heartbeats.cc
+++ b/tests/simulation/heartbeats.cc
@@ -40,25 +40,25 @@
   const Event deliver = [this, controller, request, heartbeat] {
     Deliver(controller, request, heartbeat);
   };
-  if (!cluster_.workers().Connected(controller, worker)) {
+  if (!cluster_.workers().IsConnected(controller, worker)) {
     // Held by the partition and delivered when it ends, minutes late.
     const ControllerProcess& process =
         cluster_.controllers().process(controller);
     const double until_s = std::max(
         {worker.partitioned_until_s, process.partitioned_from_workers_until_s,
          process.partitioned_until_s, faults.zone_partition_until_s});
-    events.At(until_s + cluster_.NetworkLatency(), deliver);
+    events.At(until_s + cluster_.DrawNetworkLatency(), deliver);
     return;
   }
   if (cluster_.now() < worker.outbound_lost_until_s) return;
-  if (cluster_.Hits(faults.heartbeats_replayed_to_next_leader))
+  if (cluster_.DrawHit(faults.heartbeats_replayed_to_next_leader))
     kept_for_next_leader_.emplace_back(request, heartbeat);
-  if (cluster_.Hits(faults.late_heartbeat_copies))
+  if (cluster_.DrawHit(faults.late_heartbeat_copies))
     events.After(
         2 + 1.5 * cluster_.settings().worker_lease_s * random.Uniform(),
         deliver);
   if (random.Chance(options.loss_probability)) return;
-  events.After(cluster_.NetworkLatency(), deliver);
+  events.After(cluster_.DrawNetworkLatency(), deliver);
   if (random.Chance(options.duplicate_probability))
     events.After(5 * random.Uniform(), deliver);
   if (options.heartbeat_copy_probability > 0 &&
@@ -72,7 +72,7 @@
   if (!controllers.process(controller).up) return;
   ++cluster_.statistics().leader_cost.heartbeats;
   controllers.Deliver(
-      controllers.Current(controller),
+      controllers.CurrentProcess(controller),
       [request, heartbeat](Controller& receiver, Controller::Time time) {
         return receiver.OnHeartbeat(time, request, heartbeat);
       });
@@ -86,7 +86,7 @@
           0.5 * cluster_.random().Uniform(),
           [this, i, request = request, heartbeat = heartbeat] {
             SimulatedControllers& controllers = cluster_.controllers();
-            controllers.Deliver(controllers.Current(i),
+            controllers.Deliver(controllers.CurrentProcess(i),
                                 [request, heartbeat](Controller& receiver,
                                                      Controller::Time time) {
                                   return receiver.OnHeartbeat(time, request,
@@ -100,7 +100,7 @@
   RandomSource& random = cluster_.random();
   const double delay_s = random.Chance(cluster_.options().late_probability)
                              ? kLateResponseS * random.Uniform()
-                             : cluster_.NetworkLatency();
+                             : cluster_.DrawNetworkLatency();
   cluster_.events().After(delay_s,
                           [this, response] { ReceiveResponse(response); });
 }
@@ -113,8 +113,8 @@
   Worker* worker = cluster_.workers().Find(heartbeat.worker);
   if (!worker || !worker->up) return;
   if (!worker->awaits_response || worker->request != response.request) return;
-  if (!cluster_.workers().Connected(heartbeat.controller, *worker) ||
-      !cluster_.workers().Receives(*worker) ||
+  if (!cluster_.workers().IsConnected(heartbeat.controller, *worker) ||
+      !cluster_.workers().ReceivesMessages(*worker) ||
       cluster_.random().Chance(cluster_.options().loss_probability))
     return;  // lost: the worker gives up later
   worker->awaits_response = false;
--- a/tests/simulation/invariants/answered_jobs.cc
+++ b/tests/simulation/invariants/answered_jobs.cc
@@ -6,7 +6,8 @@
 namespace sorrelwood::test {
 namespace {
 
-// Clients ask far more often (s).
+// The longest time without a successful response about a job (s). Clients poll
+// at least every 15 s.
 constexpr double kMaxSilenceS = 75;
 
 }  // namespace
@@ -18,9 +19,11 @@
     const double silent_since_s =
         std::max({job->last_answer_s, cluster.faults_end_s(), job->accepted_s});
     if (cluster.now() - silent_since_s <= kMaxSilenceS) continue;
-    cluster.ReportViolation("forgotten: no question about " + id +
-                            " is answered");
-    job->last_answer_s = cluster.now();  // reported once in that time
+    cluster.ReportViolation(
+        "no request about the accepted job " + id + " has been answered for " +
+        std::to_string(static_cast<int>(kMaxSilenceS)) + " s");
+    job->last_answer_s =
+        cluster.now();  // not reported again within kMaxSilenceS
   }
 }
 
--- a/tests/simulation/invariants/client_answers.cc
+++ b/tests/simulation/invariants/client_answers.cc
@@ -10,8 +10,8 @@
 constexpr int kStatusNotFound = 404;
 constexpr int kStatusUnprocessable = 422;
 
-// An answer to a request that was sent earlier may be older than what the
-// client was told meanwhile.
+// Whether the request was sent after `time_s` (0: never). Only then must its
+// response include what was reported at `time_s`.
 bool SentAfter(const ClientRequest& request, double time_s) {
   return time_s > 0 && request.sent_s > time_s;
 }
@@ -24,9 +24,11 @@
   const bool submission = request.kind == ClientRequest::Kind::kSubmit;
   if (submission &&
       (response.status == kStatusOk || response.status == kStatusCreated))
-    cluster.ReportViolation("accepted though it can't run: " + request.job);
+    cluster.ReportViolation("a job that cannot run was accepted: " +
+                            request.job);
   if (!submission && response.status == kStatusOk)
-    cluster.ReportViolation("invented: " + request.job);
+    cluster.ReportViolation("a job that was never submitted is reported: " +
+                            request.job);
 }
 
 void CheckAcceptedJobIsNotRefused(SimulatedCluster& cluster,
@@ -35,12 +37,12 @@
                                   const ClientResponse& response) {
   if (!job.accepted) return;
   if (response.status == kStatusNotFound && request.sent_s > job.accepted_s)
-    cluster.ReportViolation("forgotten: " + job.spec.id +
-                            " was accepted and got 404");
+    cluster.ReportViolation("lost job: " + job.spec.id +
+                            " was accepted and later answered with 404");
   if (response.status == kStatusBadRequest ||
       response.status == kStatusUnprocessable)
-    cluster.ReportViolation("forgotten: " + job.spec.id +
-                            " was accepted and refused later");
+    cluster.ReportViolation("lost job: " + job.spec.id +
+                            " was accepted and later refused");
 }
 
 void CheckJobIsAcceptedOnce(SimulatedCluster& cluster, const ClientJob& job,
@@ -48,27 +50,30 @@
                             const ClientResponse& response) {
   if (response.status == kStatusCreated && job.accepted &&
       request.sent_s > job.accepted_s)
-    cluster.ReportViolation("forgotten: " + job.spec.id +
-                            " is accepted a second time");
-  if (!job.submitted) cluster.ReportViolation("invented: " + job.spec.id);
+    cluster.ReportViolation("lost job: " + job.spec.id +
+                            " was accepted a second time");
+  if (!job.submitted)
+    cluster.ReportViolation("a job that was never submitted was accepted: " +
+                            job.spec.id);
 }
 
 void CheckFinalStateIsKept(SimulatedCluster& cluster, const ClientJob& job,
                            const ClientRequest& request,
                            const ClientResponse& response,
-                           const ToldState& told) {
-  if ((SentAfter(request, job.told_done_s) && !told.done) ||
-      (SentAfter(request, job.told_cancelled_s) && !told.cancelled))
-    cluster.ReportViolation("went_back: " + job.spec.id + " is now " +
+                           const ReportedState& reported) {
+  if ((SentAfter(request, job.reported_done_s) && !reported.done) ||
+      (SentAfter(request, job.reported_cancelled_s) && !reported.cancelled))
+    cluster.ReportViolation("final state changed: " + job.spec.id + " is now " +
                             response.body);
-  if (told.cancelled && !job.cancel_requested)
-    cluster.ReportViolation("went_back: " + job.spec.id +
-                            " was not cancelled by its user");
+  if (reported.cancelled && !job.cancel_requested)
+    cluster.ReportViolation("wrong final state: " + job.spec.id +
+                            " is cancelled without a request of its client");
 }
 
 void CheckDoneJobIsComplete(SimulatedCluster& cluster, const ClientJob& job) {
   if (job.completed.size() < job.spec.tasks || job.spec.IsService())
-    cluster.ReportViolation("not_done: " + job.spec.id + " has tasks left");
+    cluster.ReportViolation("reported done too early: " + job.spec.id +
+                            " has unfinished tasks or is a service");
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/invariants/invariant_checker.cc
+++ b/tests/simulation/invariants/invariant_checker.cc
@@ -12,15 +12,15 @@
 void InvariantChecker::SchedulePeriodicChecks() {
   const auto schedule = [this](void (*check)(SimulatedCluster&)) {
     cluster_.events().At(kPeriodicCheckIntervalS,
-                         [this, check] { Repeat(check); });
+                         [this, check] { RunAndReschedule(check); });
   };
   schedule(&CheckNoJobWaitsBesideFreeCapacity);
   if (cluster_.options().services > 0) schedule(&CheckReplicasAreReplaced);
 }
 
-void InvariantChecker::Repeat(void (*check)(SimulatedCluster&)) {
+void InvariantChecker::RunAndReschedule(void (*check)(SimulatedCluster&)) {
   cluster_.events().After(kPeriodicCheckIntervalS,
-                          [this, check] { Repeat(check); });
+                          [this, check] { RunAndReschedule(check); });
   check(cluster_);
 }
 
--- a/tests/simulation/invariants/invariant_checker.h
+++ b/tests/simulation/invariants/invariant_checker.h
@@ -1,30 +1,31 @@
-// The invariants that are checked as time passes: after each step, every
-// second, and at the end of a run. Those that are checked when something
-// happens: invariants.h.
+// The invariants that are checked periodically: after each step, every second,
+// or at the end of a run. invariants.h declares those that are checked on
+// events.
 #pragma once
 
 namespace sorrelwood::test {
 
 class SimulatedCluster;
 
-// answered_jobs.cc: once all faults are over, requests about each accepted job
-// are answered.
+// answered_jobs.cc: after the last fault has ended, requests about each
+// accepted job are answered.
 void CheckAcceptedJobsAreAnswered(SimulatedCluster& cluster);
 
-// running_tasks.cc: no team uses more CPUs than its limit, and nothing of a
-// cancelled job runs after the deadline.
+// running_tasks.cc: no team uses more CPUs than its limit, and no task of a
+// cancelled job runs after the cancellation deadline.
 void CheckRunningTasks(SimulatedCluster& cluster);
 
-// no_idle_capacity.cc: once all faults are over, no job waits for long beside
-// free capacity that fits it while its team is under its limit.
+// no_idle_capacity.cc: after the last fault has ended, no job that fits into
+// free capacity and its team's limit waits for long.
 void CheckNoJobWaitsBesideFreeCapacity(SimulatedCluster& cluster);
 
-// replica_recovery.cc: once all faults are over, no service is without a
-// replica for long while its team's limit leaves it room.
+// replica_recovery.cc: after the last fault has ended, no service that fits
+// into its team's limit lacks a replica for long.
 void CheckReplicasAreReplaced(SimulatedCluster& cluster);
 
-// no_starvation.cc: at the end at least half of the jobs of each class and of
-// each team have started, and of the largest jobs of each class within minutes.
+// no_starvation.cc: at the end of a run at least half of the jobs of each class
+// and of each team have started, and at least half of the largest jobs of each
+// class started within minutes.
 void CheckNoGroupIsStarved(SimulatedCluster& cluster);
 
 class InvariantChecker {
@@ -36,8 +37,7 @@
   void CheckAtEnd();
 
  private:
-  // Runs the check every second.
-  void Repeat(void (*check)(SimulatedCluster&));
+  void RunAndReschedule(void (*check)(SimulatedCluster&));
 
   SimulatedCluster& cluster_;
 };
--- a/tests/simulation/invariants/invariants.h
+++ b/tests/simulation/invariants/invariants.h
@@ -1,6 +1,6 @@
-// The invariants that are checked when something happens. Each reports a
-// violation to the cluster; none changes anything. Every rule stands in the
-// file of its name. Those that are checked as time passes: invariant_checker.h.
+// The invariants that are checked on events. A check reports a violation to the
+// cluster and changes nothing else. invariant_checker.h declares those that are
+// checked periodically.
 #pragma once
 
 #include <string>
@@ -17,24 +17,24 @@
 class SimulatedCluster;
 struct ClientJob;
 struct ClientRequest;
-struct ToldState;
+struct ReportedState;
 struct Worker;
 struct WorkerTask;
 
-// single_execution.cc: no task runs on two machines at once, where a machine
-// whose lease has run out counts as having stopped.
+// single_execution.cc: no task runs on two machines at once. A machine whose
+// lease has expired counts as having stopped its tasks.
 void CheckSingleExecution(SimulatedCluster& cluster, const Worker& worker,
                           const WorkerTask& task);
 
-// placement_constraints.cc: a task runs only where its job allows: on spot
-// machines, in its zone, on its machine types, all tasks in one zone, or at
-// most half of them in any zone.
+// placement_constraints.cc: a task runs only where its job allows: on a spot
+// machine or not, in its zone, on its machine types, with all tasks in one
+// zone, or with at most half of them in any zone.
 void CheckPlacementConstraints(SimulatedCluster& cluster, const Worker& worker,
                                const WorkerTask& task);
 
-// cancelled_jobs.cc: once a cancellation was confirmed for longer than
-// ClusterSettings::cancel_deadline_s nothing of the job starts or runs, and
-// commands to start it stop much sooner.
+// cancelled_jobs.cc: no task of a job starts or runs when
+// ClusterSettings::cancel_deadline_s has passed since its cancellation was
+// confirmed, and workers stop receiving commands to start it much sooner.
 void CheckCancelledJobDoesNotStart(SimulatedCluster& cluster,
                                    const WorkerTask& task);
 void CheckCancelledJobHasStopped(SimulatedCluster& cluster,
@@ -42,31 +42,33 @@
 void CheckNoStartLongAfterCancellation(SimulatedCluster& cluster,
                                        const ClientJob& job);
 
-// All rules about the start of a task.
+// task_start.cc: all checks at the start of a task.
 void CheckTaskMayStart(SimulatedCluster& cluster, const Worker& worker,
                        const WorkerTask& task);
 
-// result_durability.cc: a worker may forget a result only when it is stored.
+// result_durability.cc: a worker is commanded to forget a result only after it
+// was stored.
 void CheckResultIsStoredBeforeForgotten(SimulatedCluster& cluster,
                                         const WorkerTask& task);
 
-// provisioning.cc: a machine is provisioned only under a stored record, so that
-// it is found again, and released only by a leader whose lease is certain.
+// provisioning.cc: a machine is provisioned only after its record was stored,
+// so that the next leader finds it, and is released only by a leader that
+// certainly holds its lease.
 void CheckProvisioningIsRecorded(SimulatedCluster& cluster,
                                  const std::string& name);
 void CheckLeaderMayRelease(SimulatedCluster& cluster, Controller& controller);
 
-// state_limits.cc: transactions keep to the state service's limits, and a value
-// that was refused as too large is not tried for ever. `refusals` counts those
-// of the same value.
+// state_limits.cc: transactions respect the limits of the state service, and a
+// value that is refused as too large is not retried forever. `refusals` is the
+// number of refusals of this value.
 void CheckTransactionSize(SimulatedCluster& cluster,
                           const StateTransaction& transaction,
                           const StateLimits& limits);
 void CheckRefusedValueIsGivenUp(SimulatedCluster& cluster,
                                 const std::string& key, int refusals);
 
-// client_answers.cc: what clients are told of a job is true, and stays true
-// whichever controller tells it.
+// client_answers.cc: the reported state of a job is correct, and a final state
+// stays the same whichever controller reports it.
 void CheckUnknownJobIsNotServed(SimulatedCluster& cluster,
                                 const ClientRequest& request,
                                 const ClientResponse& response);
@@ -80,7 +82,7 @@
 void CheckFinalStateIsKept(SimulatedCluster& cluster, const ClientJob& job,
                            const ClientRequest& request,
                            const ClientResponse& response,
-                           const ToldState& told);
+                           const ReportedState& reported);
 void CheckDoneJobIsComplete(SimulatedCluster& cluster, const ClientJob& job);
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/invariants/no_idle_capacity.cc
+++ b/tests/simulation/invariants/no_idle_capacity.cc
@@ -11,11 +11,12 @@
 
 constexpr double kMaxWaitS = 90;
 
-// What tasks hold, with those that fetch their image.
+// Resources of all tasks that have not exited, including those that still fetch
+// their image.
 struct HeldResources {
   std::map<std::string, double> cpus_by_team;
   std::map<std::string, uint32_t> tasks_by_job;
-  // By job and zone.
+  // Keyed by job and zone.
   std::map<std::pair<std::string, std::string>, uint32_t> tasks_by_zone;
 
   explicit HeldResources(SimulatedCluster& cluster) {
@@ -56,8 +57,8 @@
   return !spec.spread || in_zone + 1 <= (spec.tasks + 1) / 2;
 }
 
-bool HasRoom(SimulatedCluster& cluster, const JobSpec& spec,
-             const Worker& worker) {
+bool HasFreeResources(SimulatedCluster& cluster, const JobSpec& spec,
+                      const Worker& worker) {
   double cpus = spec.cpus;
   double memory_gb = spec.memory_gb;
   for (const auto& [id, task] : worker.tasks) {
@@ -70,11 +71,12 @@
   return cpus <= type.cpus && memory_gb <= type.memory_gb;
 }
 
-// Whether another task of the job should have been started.
-bool Waits(SimulatedCluster& cluster, const ClientJob& job,
-           HeldResources& held) {
+// Whether a waiting task of the job fits on a machine and into its team's
+// limit.
+bool CanStartTask(SimulatedCluster& cluster, const ClientJob& job,
+                  HeldResources& held) {
   const JobSpec& spec = job.spec;
-  if (!job.accepted || job.final_state_told || job.cancel_requested ||
+  if (!job.accepted || job.final_state_reported || job.cancel_requested ||
       job.fails_everywhere || job.crash_loops || job.replicas_exit)
     return false;
   if (job.completed.size() + held.tasks_by_job[spec.id] >= spec.tasks ||
@@ -85,7 +87,8 @@
   return std::any_of(workers.begin(), workers.end(), [&](const auto& item) {
     const Worker& worker = *item.second;
     return IsUsable(cluster, worker) && IsAllowed(spec, worker) &&
-           ZoneIsAllowed(spec, worker, held) && HasRoom(cluster, spec, worker);
+           ZoneIsAllowed(spec, worker, held) &&
+           HasFreeResources(cluster, spec, worker);
   });
 }
 
@@ -97,12 +100,14 @@
     return;
   HeldResources held(cluster);
   for (const auto& [id, job] : cluster.clients().all()) {
-    const bool waits = Waits(cluster, *job, held);
+    const bool waits = CanStartTask(cluster, *job, held);
     if (!waits || job->waits_since_s == 0 ||
         job->waits_since_s < job->last_start_s)
       job->waits_since_s = waits ? cluster.now() : 0;
     if (!waits || cluster.now() - job->waits_since_s <= kMaxWaitS) continue;
-    cluster.ReportViolation("left waiting: " + id + " beside room that fits");
+    cluster.ReportViolation(
+        "idle capacity: " + id +
+        " waits although a machine has enough free resources");
     job->waits_since_s = cluster.now();
   }
 }
--- a/tests/simulation/invariants/no_starvation.cc
+++ b/tests/simulation/invariants/no_starvation.cc
@@ -9,16 +9,17 @@
 namespace sorrelwood::test {
 namespace {
 
-// Within so long a large job should have started (s).
+// Time within which a large job should have started (s).
 constexpr double kMaxStartDelayS = 240;
 
-struct Group {
+struct JobGroup {
   int jobs = 0, started = 0;
 };
 using JobsByClass = std::map<std::string, std::vector<const ClientJob*>>;
 
 // The largest quarter of the jobs, at least one.
-std::vector<const ClientJob*> Largest(std::vector<const ClientJob*> jobs) {
+std::vector<const ClientJob*> LargestQuarter(
+    std::vector<const ClientJob*> jobs) {
   std::sort(jobs.begin(), jobs.end(),
             [](const ClientJob* left, const ClientJob* right) {
               return left->spec.tasks > right->spec.tasks;
@@ -28,10 +29,10 @@
 }
 
 void CountLargestJobs(const JobsByClass& classes,
-                      std::map<std::string, Group>& groups) {
+                      std::map<std::string, JobGroup>& groups) {
   for (const auto& [name, jobs] : classes) {
-    for (const ClientJob* job : Largest(jobs)) {
-      Group& group = groups["the largest of class " + name];
+    for (const ClientJob* job : LargestQuarter(jobs)) {
+      JobGroup& group = groups["the largest of class " + name];
       ++group.jobs;
       if (job->first_start_s > 0 &&
           job->first_start_s - job->accepted_s < kMaxStartDelayS)
@@ -44,7 +45,7 @@
 
 void CheckNoGroupIsStarved(SimulatedCluster& cluster) {
   if (cluster.NetworkIsUnusable()) return;
-  std::map<std::string, Group> groups;
+  std::map<std::string, JobGroup> groups;
   JobsByClass classes;
   for (const auto& [id, job] : cluster.clients().all()) {
     if (!job->accepted || job->cancel_requested) continue;
@@ -58,9 +59,9 @@
   CountLargestJobs(classes, groups);
   for (const auto& [name, group] : groups)
     if (group.started * 2 < group.jobs)
-      cluster.ReportViolation("starved: of " + name + " " +
-                              std::to_string(group.started) + " jobs of " +
-                              std::to_string(group.jobs) + " are served");
+      cluster.ReportViolation(
+          "starvation: of " + name + " only " + std::to_string(group.started) +
+          " of " + std::to_string(group.jobs) + " jobs started in time");
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/invariants/placement_constraints.cc
+++ b/tests/simulation/invariants/placement_constraints.cc
@@ -15,11 +15,11 @@
   return type_allowed && zone_allowed && (!worker.spot || spec.spot);
 }
 
-// The job's tasks that execute on machines whose lease has not run out.
+// Counts the job's executing tasks on machines that hold their lease.
 std::map<std::string, uint32_t> ExecutingTasksByZone(SimulatedCluster& cluster,
                                                      const std::string& job) {
   std::map<std::string, uint32_t> by_zone;
-  for (const std::string& name : cluster.tasks().WorkersToldToStart(job)) {
+  for (const std::string& name : cluster.tasks().WorkersCommandedToStart(job)) {
     const Worker& worker = cluster.workers().Get(name);
     if (!cluster.workers().HoldsLease(worker)) continue;
     for (const auto& [id, task] : worker.tasks)
@@ -35,15 +35,18 @@
   const JobSpec& spec = cluster.clients().Get(task.id.job).spec;
   const std::string name = task.id.job + "/" + std::to_string(task.id.task);
   if (!MachineIsAllowed(spec, worker))
-    cluster.ReportViolation("wrong_place: " + name + " on " + worker.name);
+    cluster.ReportViolation("placement: " + name + " is not allowed on " +
+                            worker.name);
   if (!spec.one_zone && !spec.spread) return;
   std::map<std::string, uint32_t> by_zone =
       ExecutingTasksByZone(cluster, task.id.job);
   if (spec.one_zone && !by_zone.empty() &&
       (by_zone.size() > 1 || by_zone.begin()->first != worker.zone))
-    cluster.ReportViolation("wrong_place: " + name + " leaves its zone");
+    cluster.ReportViolation("placement: " + name +
+                            " is outside the zone of its job");
   if (spec.spread && by_zone[worker.zone] + 1 > (spec.tasks + 1) / 2)
-    cluster.ReportViolation("wrong_place: " + name + " is not spread");
+    cluster.ReportViolation("placement: " + name +
+                            " makes over half of its job run in one zone");
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/invariants/replica_recovery.cc
+++ b/tests/simulation/invariants/replica_recovery.cc
@@ -7,7 +7,8 @@
 namespace sorrelwood::test {
 namespace {
 
-// A lease, a boot and a start (s).
+// Allows for the worker lease of a lost machine, the boot of a new one, and the
+// start of the replica (s).
 constexpr double kMaxDegradedS = 45;
 
 std::map<std::string, uint32_t> ExecutingTasksByJob(SimulatedCluster& cluster) {
@@ -18,7 +19,8 @@
   return tasks;
 }
 
-// Of work that has the priority of services and is not stopped for them.
+// CPUs of tasks with the priority of services, which are not preempted for
+// services.
 std::map<std::string, double> ProductionCpusByTeam(SimulatedCluster& cluster) {
   std::map<std::string, double> cpus;
   for (const auto& [name, worker] : cluster.workers().all()) {
@@ -50,9 +52,9 @@
       job->degraded_since_s = cluster.now();
     if (!degraded || cluster.now() - job->degraded_since_s <= kMaxDegradedS)
       continue;
-    cluster.ReportViolation("replicas of " + id + " are not put back: " +
+    cluster.ReportViolation("replicas of " + id + " are not replaced: " +
                             std::to_string(executing[id]) + " of " +
-                            std::to_string(spec.tasks));
+                            std::to_string(spec.tasks) + " run");
     job->degraded_since_s = cluster.now();
   }
 }
--- a/tests/simulation/invariants/result_durability.cc
+++ b/tests/simulation/invariants/result_durability.cc
@@ -9,8 +9,8 @@
       cluster.clients().Get(task.id.job).spec.IsService() ||
       cluster.state_service().HasResult(task.id))
     return;
-  cluster.ReportViolation("cleared before it was written down: " + task.id.job +
-                          "/" + std::to_string(task.id.task));
+  cluster.ReportViolation("result forgotten before it was stored: " +
+                          task.id.job + "/" + std::to_string(task.id.task));
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/invariants/running_tasks.cc
+++ b/tests/simulation/invariants/running_tasks.cc
@@ -8,8 +8,8 @@
 namespace sorrelwood::test {
 namespace {
 
-// Slack for sums of CPUs.
-constexpr double kRounding = 1e-6;
+// Tolerance for rounding errors in sums of CPUs.
+constexpr double kRoundingToleranceCpus = 1e-6;
 
 }  // namespace
 
@@ -25,9 +25,10 @@
     }
   }
   for (const Team& team : cluster.settings().teams)
-    if (cpus_by_team[team.name] > team.cpus_max + kRounding)
-      cluster.ReportViolation("quota: " + team.name + " uses " +
-                              std::to_string(cpus_by_team[team.name]));
+    if (cpus_by_team[team.name] > team.cpus_max + kRoundingToleranceCpus)
+      cluster.ReportViolation("team limit exceeded: " + team.name + " uses " +
+                              std::to_string(cpus_by_team[team.name]) + " of " +
+                              std::to_string(team.cpus_max) + " CPUs");
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/invariants/single_execution.cc
+++ b/tests/simulation/invariants/single_execution.cc
@@ -6,14 +6,15 @@
 void CheckSingleExecution(SimulatedCluster& cluster, const Worker& worker,
                           const WorkerTask& task) {
   for (const std::string& name :
-       cluster.tasks().WorkersToldToStart(task.id.job)) {
+       cluster.tasks().WorkersCommandedToStart(task.id.job)) {
     const Worker& other = cluster.workers().Get(name);
-    // One that hangs past its lease kills what it has before anything goes on.
+    // A worker that hung until its lease expired kills its tasks before it
+    // resumes.
     if (&other == &worker || !cluster.workers().HoldsLease(other)) continue;
     const auto attempt = other.tasks.find(task.id);
     if (attempt == other.tasks.end() || !attempt->second.IsExecuting())
       continue;
-    cluster.ReportViolation("ran_twice: " + task.id.job + "/" +
+    cluster.ReportViolation("task runs twice: " + task.id.job + "/" +
                             std::to_string(task.id.task) + " on " +
                             worker.name + " and " + name);
   }
--- a/tests/simulation/invariants/state_limits.cc
+++ b/tests/simulation/invariants/state_limits.cc
@@ -4,9 +4,9 @@
 namespace sorrelwood::test {
 namespace {
 
-// Refusals of one value after which a writer should have given it up.
+// Number of refusals of the same value that is reported as endless retries.
 constexpr int kMaxRefusals = 8;
-// Preconditions allowed for each change that a transaction may have.
+// A transaction may have this multiple of its allowed changes as preconditions.
 constexpr size_t kPreconditionsPerChange = 4;
 
 }  // namespace
@@ -18,14 +18,15 @@
       static_cast<size_t>(limits.max_mutations_per_transaction);
   if (transaction.mutations.size() > max_changes ||
       transaction.preconditions.size() > kPreconditionsPerChange * max_changes)
-    cluster.ReportViolation("a transaction over the state service's limits");
+    cluster.ReportViolation(
+        "a transaction exceeds the limits of the state service");
 }
 
 void CheckRefusedValueIsGivenUp(SimulatedCluster& cluster,
                                 const std::string& key, int refusals) {
   if (refusals == kMaxRefusals)  // reported once
     cluster.ReportViolation(
-        "a value that is never taken is tried again and again: " + key);
+        "a value that is refused as too large is retried without end: " + key);
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/scenarios/combined_scenarios.cc
+++ b/tests/simulation/scenarios/combined_scenarios.cc
@@ -1,5 +1,6 @@
-// Scenarios of two faults and more that meet; docs/design.md ("When troubles
-// meet") says what each may lead to.
+// Scenarios in which two or more faults overlap; docs/design.md ("When troubles
+// meet") says what each
+// combination may cause.
 #include "simulation/scenarios/scenario.h"
 
 namespace sorrelwood::test {
@@ -7,7 +8,7 @@
 
 using enum FaultKind;
 
-// Tasks that end within a takeover, as in the basic scenarios.
+// Uses tasks that may end during a failover, as in the basic scenarios.
 void UseShortTasks(Scenario& scenario) {
   scenario.options.run_time_factor = 1;
   scenario.options.policy.speculation_limit_s = kShortSpeculationS;
@@ -24,7 +25,7 @@
   return faults;
 }
 
-// Another controller leads between the refusal and the outage, for an instant.
+// Another controller leads briefly between the refusal and the outage.
 std::vector<Fault> ElectionJustBeforeOutage() {
   std::vector<Fault> faults;
   for (const double at_s : {50.0, 140.0})
@@ -59,24 +60,27 @@
   return faults;
 }
 
-// The state service refuses the leader alone, then everybody for longer than a
-// cancellation may take, while clients cancel through another controller.
+// The state service refuses only the leader, then all controllers for longer
+// than the cancellation deadline, while clients cancel through another
+// controller.
 void AddStateServiceRefusals(ScenarioTable& table) {
+  // "gap" is the time between the two refusals and their end, in which the
+  // leader cannot read cancellations.
   table.Add("gap",
             "A leader starts jobs whose cancellation was confirmed while it "
-            "knew nothing.",
+            "could not read the state service.",
             ExpectedProgress::kSomeJobs, RefusalThenOutage());
   table.last().options.run_time_factor = 4;
   table.last().options.cancel_share = 0.4;
   table.Add("elected_before_the_outage",
-            "A controller that leads for an instant before the outage starts "
+            "A controller that leads only briefly before the outage starts "
             "cancelled jobs.",
             ExpectedProgress::kSomeJobs, ElectionJustBeforeOutage());
   table.last().options.run_time_factor = 4;
   table.last().options.cancel_share = 0.4;
   table.Add("slow_then_refused",
-            "A leader answers from an old view of the jobs when slowness turns "
-            "into an outage.",
+            "A leader answers from an outdated view of the jobs when a slow "
+            "state service becomes unavailable.",
             ExpectedProgress::kSomeJobs,
             {
                 {.at_s = 35, .kind = kPollAllControllersOnChange, .for_s = 120},
@@ -88,7 +92,8 @@
             });
   table.Add(
       "alone_with_workers_and_users",
-      "A leader that only workers and clients reach starts cancelled jobs.",
+      "A leader that is connected only to workers and clients starts "
+      "cancelled jobs.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 50, .kind = kLeaderWithoutStateAndPeers, .for_s = 60},
@@ -98,37 +103,39 @@
       });
 }
 
-// Leaders change faster than heartbeats come.
+// Leaders change faster than workers send heartbeats.
 void AddRapidTakeovers(ScenarioTable& table) {
   table.Add("ten_leaders",
-            "Ten takeovers add up to something that one does not show.",
+            "Small errors of each failover accumulate over ten failovers.",
             ExpectedProgress::kSomeJobs, TenLeaders());
   table.Add(
       "leaders_change_fast",
-      "Few heartbeats show the fencing token of the leader that receives them.",
+      "A leader does not cope with heartbeats that carry the fencing token of "
+      "another leader.",
       ExpectedProgress::kSomeJobs, RapidLeaderChanges());
-  table.Add(
-      "hand_over_and_back",
-      "A controller that leads again trusts what it knew in its earlier term.",
-      ExpectedProgress::kSomeJobs,
-      {
-          {.at_s = 44.5, .kind = kCancelRunningJobs, .count = 3},
-          {.at_s = 45, .kind = kLeaderCrash, .restart_s = 0.1},
-          {.at_s = 46, .kind = kAllControllersCrash, .restart_s = 0.3},
-          {.at_s = 46.2, .kind = kCancelRunningJobs, .count = 3},
-          {.at_s = 47, .kind = kLeaderCrash, .restart_s = 0.2},
-          {.at_s = 48, .kind = kFollowerCrash, .restart_s = 0.1},
-          {.at_s = 60, .kind = kAllControllersCrash, .restart_s = 20},
-          {.at_s = 62, .kind = kAllControllersCrash, .restart_s = 0.5},
-          {.at_s = 62.5, .kind = kCancelRunningJobs, .count = 3},
-      });
+  table.Add("hand_over_and_back",
+            "A controller that leads again relies on its state from an earlier "
+            "term.",
+            ExpectedProgress::kSomeJobs,
+            {
+                {.at_s = 44.5, .kind = kCancelRunningJobs, .count = 3},
+                {.at_s = 45, .kind = kLeaderCrash, .restart_s = 0.1},
+                {.at_s = 46, .kind = kAllControllersCrash, .restart_s = 0.3},
+                {.at_s = 46.2, .kind = kCancelRunningJobs, .count = 3},
+                {.at_s = 47, .kind = kLeaderCrash, .restart_s = 0.2},
+                {.at_s = 48, .kind = kFollowerCrash, .restart_s = 0.1},
+                {.at_s = 60, .kind = kAllControllersCrash, .restart_s = 20},
+                {.at_s = 62, .kind = kAllControllersCrash, .restart_s = 0.5},
+                {.at_s = 62.5, .kind = kCancelRunningJobs, .count = 3},
+            });
 }
 
-// The next leader can't see all machines.
+// Machines are silent, hung or lost while the leader changes.
 void AddMachineFaultsAtTakeovers(ScenarioTable& table) {
   table.Add(
       "silent_machines_at_a_takeover",
-      "What may run on machines that are silent at a takeover is started anew.",
+      "Tasks that may still run on machines that are silent during a failover "
+      "are started again.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 45, .kind = kMachinePartition, .for_s = 30, .count = 4},
@@ -139,29 +146,29 @@
       });
   table.Add(
       "all_away_for_a_lease",
-      "After longer than a lease without controllers the records don't match "
-      "the machines.",
+      "After more than a worker lease without controllers, the stored records "
+      "do not match the tasks on the machines.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 50, .kind = kMachinePartition, .for_s = 30, .count = 3},
           {.at_s = 55, .kind = kAllControllersCrash, .restart_s = 40},
           {.at_s = 60, .kind = kAllControllersCrash, .restart_s = 40},
       });
-  table.Add(
-      "commands_held_up",
-      "Commands that hung machines execute seconds later meet another state.",
-      ExpectedProgress::kAllJobs,
-      {
-          {.at_s = 40, .kind = kMachineHang, .for_s = 5, .count = 6},
-          {.at_s = 47, .kind = kMachineHang, .for_s = 9, .count = 6},
-          {.at_s = 50, .kind = kLeaderCrash, .restart_s = 3},
-          {.at_s = 58, .kind = kMachineHang, .for_s = 12.5, .count = 6},
-          {.at_s = 72, .kind = kMachineHang, .for_s = 16, .count = 6},
-          {.at_s = 73, .kind = kLeaderCrash, .restart_s = 0.3},
-      },
-      0.01);
+  table.Add("commands_held_up",
+            "Commands that hung machines execute seconds late are applied to a "
+            "changed state.",
+            ExpectedProgress::kAllJobs,
+            {
+                {.at_s = 40, .kind = kMachineHang, .for_s = 5, .count = 6},
+                {.at_s = 47, .kind = kMachineHang, .for_s = 9, .count = 6},
+                {.at_s = 50, .kind = kLeaderCrash, .restart_s = 3},
+                {.at_s = 58, .kind = kMachineHang, .for_s = 12.5, .count = 6},
+                {.at_s = 72, .kind = kMachineHang, .for_s = 16, .count = 6},
+                {.at_s = 73, .kind = kLeaderCrash, .restart_s = 0.3},
+            },
+            0.01);
   table.Add("one_zone_loses_machines",
-            "The tasks of a job in one zone come back in several.",
+            "The restarted tasks of a single-zone job run in several zones.",
             ExpectedProgress::kAllJobs,
             {
                 {.at_s = 45, .kind = kMachineCrash, .count = 4},
@@ -173,11 +180,12 @@
   table.last().options.one_zone_share = 0.7;
 }
 
-// Machines that run tasks are not heard from.
-void AddUnheardMachines(ScenarioTable& table) {
+// Controllers receive no heartbeats from machines that run tasks.
+void AddSilentMachines(ScenarioTable& table) {
   table.Add(
       "limits_and_hangs",
-      "Machines that nobody hears from don't count against their team's limit.",
+      "Tasks on silent machines are not counted against the limit of their "
+      "team.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 60, .kind = kCancelRunningJobs, .for_s = 30, .count = 6},
@@ -189,8 +197,8 @@
   table.last().options.jobs = 60;
   table.Add(
       "limits_and_mute_machines",
-      "Machines whose heartbeats are lost don't count against their team's "
-      "limit.",
+      "Tasks on machines whose heartbeats are lost are not counted against the "
+      "limit of their team.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 60, .kind = kMachineOutboundLoss, .for_s = 30, .count = 5},
@@ -201,9 +209,11 @@
           {.at_s = 93, .kind = kCancelRunningJobs, .count = 6},
       });
   table.last().options.jobs = 60;
+  // "mute": the machine receives commands but its heartbeats are lost.
   table.Add(
       "mute",
-      "Machines that reach no controller keep tasks that were started anew.",
+      "Machines whose heartbeats are lost keep running tasks that were "
+      "restarted elsewhere.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 35, .kind = kMachineOutboundLoss, .for_s = 60, .count = 5},
@@ -212,28 +222,28 @@
       });
 }
 
-// Heartbeats arrive late, or at the next leader.
+// Copies of heartbeats arrive late, or at the next leader.
 void AddStaleHeartbeats(ScenarioTable& table) {
-  table.Add(
-      "copies_for_the_next",
-      "A new leader believes heartbeats that were sent to its predecessor.",
-      ExpectedProgress::kAllJobs,
-      {
-          {.at_s = 30,
-           .kind = kHeartbeatsReplayedToNextLeader,
-           .for_s = 80,
-           .share = 0.4},
-          {.at_s = 45, .kind = kLeaderCrash, .restart_s = 0.2},
-          {.at_s = 55, .kind = kMachineRestart},
-          {.at_s = 60, .kind = kLeaderCrash, .restart_s = 3},
-          {.at_s = 61, .kind = kSpotPreemptionWave},
-          {.at_s = 75, .kind = kLeaderCrash, .restart_s = 3},
-          {.at_s = 95, .kind = kAllControllersCrash, .restart_s = 0.5},
-      });
+  table.Add("copies_for_the_next",
+            "A new leader accepts copies of heartbeats that were sent to its "
+            "predecessor.",
+            ExpectedProgress::kAllJobs,
+            {
+                {.at_s = 30,
+                 .kind = kHeartbeatsReplayedToNextLeader,
+                 .for_s = 80,
+                 .share = 0.4},
+                {.at_s = 45, .kind = kLeaderCrash, .restart_s = 0.2},
+                {.at_s = 55, .kind = kMachineRestart},
+                {.at_s = 60, .kind = kLeaderCrash, .restart_s = 3},
+                {.at_s = 61, .kind = kSpotPreemptionWave},
+                {.at_s = 75, .kind = kLeaderCrash, .restart_s = 3},
+                {.at_s = 95, .kind = kAllControllersCrash, .restart_s = 0.5},
+            });
   table.Add(
       "late_reports",
-      "A heartbeat that arrives after a restart shows tasks of the earlier "
-      "incarnation.",
+      "A heartbeat of an earlier incarnation that arrives after the restart of "
+      "its worker is accepted.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 20,
@@ -249,11 +259,11 @@
       });
 }
 
-// Transactions are carried out late or unanswered.
+// Transactions are executed late, or their responses are lost.
 void AddLateWrites(ScenarioTable& table) {
   table.Add("answers_lost",
-            "A committed change that its controller does not know of is told "
-            "to clients, and undone.",
+            "A committed change whose response was lost is reported to clients "
+            "and later undone.",
             ExpectedProgress::kSomeJobs,
             {
                 {.at_s = 20,
@@ -284,11 +294,11 @@
       });
 }
 
-// Clients cancel while something else goes wrong.
+// Clients cancel jobs during other faults.
 void AddCancellations(ScenarioTable& table) {
   table.Add(
       "zone_cut_and_cancels",
-      "Jobs that were cancelled in one zone are started in the other.",
+      "Jobs that were cancelled through one zone are started in the other.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 50, .kind = kZonePartition, .for_s = 40},
@@ -313,7 +323,7 @@
       });
   table.Add(
       "cancelled_at_the_end",
-      "A job that ends as it is cancelled is told both done and cancelled.",
+      "A job that ends as it is cancelled is reported both done and cancelled.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 1, .kind = kCancelAtCompletion, .for_s = 200, .share = 0.6},
@@ -322,36 +332,37 @@
   UseShortTasks(table.last());
 }
 
-// Clients poll closely, or submit unusual jobs.
+// Clients poll all controllers after each change, or submit unusual jobs.
 void AddClientBehaviour(ScenarioTable& table) {
-  table.Add("close_looks",
-            "Two controllers tell different states of a job at the same time.",
-            ExpectedProgress::kAllJobs,
-            {
-                {.at_s = 1, .kind = kPollAllControllersOnChange, .for_s = 200},
-                {.at_s = 1, .kind = kUnusualRequests, .for_s = 200},
-                {.at_s = 50, .kind = kLeaderCrash, .restart_s = 3},
-            });
-  UseShortTasks(table.last());
   table.Add(
-      "single_jobs",
-      "Many jobs of one task that come and go fast are forgotten or repeated.",
-      ExpectedProgress::kSomeJobs,
+      "close_looks",
+      "Two controllers report different states of a job at the same time.",
+      ExpectedProgress::kAllJobs,
       {
-          {.at_s = 60, .kind = kLeaderCrash, .restart_s = 3},
-          {.at_s = 80,
-           .kind = kTransactionAnswersLost,
-           .for_s = 15,
-           .share = 0.3},
-          {.at_s = 90, .kind = kPollAllControllersOnChange, .for_s = 20},
+          {.at_s = 1, .kind = kPollAllControllersOnChange, .for_s = 200},
+          {.at_s = 1, .kind = kUnusualRequests, .for_s = 200},
+          {.at_s = 50, .kind = kLeaderCrash, .restart_s = 3},
       });
   UseShortTasks(table.last());
+  table.Add("single_jobs",
+            "Short single-task jobs are lost or run twice at a high submission "
+            "rate.",
+            ExpectedProgress::kSomeJobs,
+            {
+                {.at_s = 60, .kind = kLeaderCrash, .restart_s = 3},
+                {.at_s = 80,
+                 .kind = kTransactionAnswersLost,
+                 .for_s = 15,
+                 .share = 0.3},
+                {.at_s = 90, .kind = kPollAllControllersOnChange, .for_s = 20},
+            });
+  UseShortTasks(table.last());
   table.last().seeds = 4;
   table.last().options.single_task_jobs_per_s = 4;
   table.last().options.jobs = 6;
   table.last().options.capacity_factor = 2;
   table.Add("ends_far_apart",
-            "A job is told done before its last task, which ends much later.",
+            "A job is reported done before its last task has ended.",
             ExpectedProgress::kAllJobs,
             {
                 {.at_s = 45, .kind = kLeaderCrash, .restart_s = 3},
@@ -360,13 +371,14 @@
             });
   UseShortTasks(table.last());
   table.last().options.staggered_task_ends = true;
-  table.Add("more_work_than_room",
-            "A slow state service and a full cluster starve jobs.",
-            ExpectedProgress::kSomeJobs,
-            {
-                {.at_s = 40, .kind = kStateServiceSlow, .for_s = 60},
-                {.at_s = 70, .kind = kLeaderCrash, .restart_s = 3},
-            });
+  table.Add(
+      "more_work_than_room",
+      "Some jobs never start on a full cluster with a slow state service.",
+      ExpectedProgress::kSomeJobs,
+      {
+          {.at_s = 40, .kind = kStateServiceSlow, .for_s = 60},
+          {.at_s = 70, .kind = kLeaderCrash, .restart_s = 3},
+      });
   table.last().options.jobs = 60;
   table.last().options.max_watch_delay_s = 0.5;
   table.last().options.duration_s = 500;
@@ -375,7 +387,9 @@
 // Most of the faults above at once.
 void AddAllTogether(ScenarioTable& table) {
   table.Add(
-      "all_meet", "Faults that are handled in pairs break a rule together.",
+      "all_meet",
+      "Faults that are tolerated in pairs break an invariant when many "
+      "overlap.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 15, .kind = kPollAllControllersOnChange, .for_s = 150},
@@ -413,13 +427,13 @@
   constexpr uint64_t kSeeds = 16;
   SimulationOptions options = SmallClusterOptions();
   options.controllers = 5;
-  options.run_time_factor = 3;  // so that tasks outlast a takeover
+  options.run_time_factor = 3;  // tasks outlast a failover
   options.policy.speculation_limit_s = 900;
   ScenarioTable table(kSeeds, options);
   AddStateServiceRefusals(table);
   AddRapidTakeovers(table);
   AddMachineFaultsAtTakeovers(table);
-  AddUnheardMachines(table);
+  AddSilentMachines(table);
   AddStaleHeartbeats(table);
   AddLateWrites(table);
   AddCancellations(table);
--- a/tests/simulation/scenarios/scenario.h
+++ b/tests/simulation/scenarios/scenario.h
@@ -1,5 +1,5 @@
 // The named scenarios of the simulated cluster, shared by the seeded tests and
-// the measurement of digests.
+// the digest measurement.
 #pragma once
 
 #include <cstdint>
@@ -10,47 +10,47 @@
 
 namespace sorrelwood::test {
 
-// What has happened to the jobs by the end of a run.
+// How many jobs must have ended by the end of a run.
 enum class ExpectedProgress {
-  kAllJobs,   // every job that was not cancelled is done
-  kSomeJobs,  // over a quarter is done or cancelled
+  kAllJobs,   // all jobs are done or cancelled
+  kSomeJobs,  // more than a quarter are done or cancelled
 };
 
 struct Scenario {
   const char* name = "";
-  const char* guards_against = "";  // the failure that the scenario would show
+  const char* guards_against = "";  // the failure that breaks the test
   ExpectedProgress progress = ExpectedProgress::kAllJobs;
-  uint64_t seeds = 1;  // the seeded tests play 1 to `seeds`
+  uint64_t seeds = 1;  // the seeded tests run seeds 1 to `seeds`
   SimulationOptions options;
 };
 
-// The time after which a task counts as slow in a small cluster (s): short, so
-// that speculation is part of most scenarios.
+// PolicySettings::speculation_limit_s of small clusters (s): short, so that
+// most scenarios kill and requeue tasks that exceed it.
 inline constexpr double kShortSpeculationS = 15;
 
-// A policy whose times suit runs of some minutes.
+// Options with policy times that suit runs of a few minutes.
 SimulationOptions SmallClusterOptions();
 
-// These with faults. `unreliability` is the probability for each message to be
-// lost, and as well to be late and to be repeated.
+// SmallClusterOptions with faults. `unreliability` is the probability that a
+// message is lost; being late and being duplicated have the same probability.
 SimulationOptions OptionsWithFaults(std::vector<Fault> faults,
                                     double unreliability = 0);
 
-// Crashes of the leader, one every `interval_s`.
+// Returns `count` crashes of the leader, one every `interval_s`.
 std::vector<Fault> LeaderCrashes(int count, double first_at_s,
                                  double interval_s, double restart_s);
 
-// Collects scenarios that have options in common.
+// Collects scenarios that share their base options.
 class ScenarioTable {
  public:
   ScenarioTable(uint64_t seeds, SimulationOptions options)
       : seeds_(seeds), options_(std::move(options)) {}
 
-  // `unreliability` is as above.
+  // `unreliability` as in OptionsWithFaults.
   void Add(const char* name, const char* guards_against,
            ExpectedProgress progress, std::vector<Fault> faults,
            double unreliability = 0);
-  // The scenario that was added last, to set options of it alone.
+  // The scenario that was added last, to change its options.
   Scenario& last() { return scenarios_.back(); }
 
   const std::vector<Scenario>& scenarios() const { return scenarios_; }
@@ -65,10 +65,11 @@
 std::vector<Scenario> CombinedScenarios();
 std::vector<Scenario> ServiceScenarios();
 
-// All of them; their order is that of the parameterized tests.
+// All scenarios, in the order of the parameterized tests.
 std::vector<Scenario> AllScenarios();
 
-// Any options with rebalancing on, and so eager that small clusters move tasks.
+// Enables rebalancing, with thresholds low enough for small clusters to move
+// tasks.
 SimulationOptions WithRebalancing(SimulationOptions options);
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/scenarios/service_scenarios.cc
+++ b/tests/simulation/scenarios/service_scenarios.cc
@@ -1,4 +1,4 @@
-// Scenarios of services beside other jobs, and of the rolling upgrade.
+// Scenarios with services and other jobs, and with a rolling upgrade.
 #include "simulation/scenarios/scenario.h"
 
 namespace sorrelwood::test {
@@ -9,16 +9,18 @@
 void UseRollingUpgrade(Scenario& scenario, double limits_drop_at_s) {
   SimulationOptions& options = scenario.options;
   options.rolling_upgrade_at_s = 15;
-  options.services_from_s = 50;  // nothing new is asked before
+  options.services_from_s =
+      50;  // services are submitted only after the upgrade
   options.state_limits_drop_at_s = limits_drop_at_s;
   options.enforce_write_rate = true;
   options.long_array = true;
   options.run_time_factor = 2;
 }
 
-// Services beside other jobs, while machines and leaders change.
+// Services run alongside other jobs while machines and leaders fail.
 void AddServices(ScenarioTable& table) {
-  table.Add("services", "Replicas are not started although nothing goes wrong.",
+  table.Add("services",
+            "Replicas are not started although no fault is injected.",
             ExpectedProgress::kAllJobs, {});
   table.Add(
       "services_lose_machines",
@@ -35,7 +37,8 @@
   table.last().options.run_time_factor = 2;
   table.Add(
       "services_change_leaders",
-      "The next leader starts replicas anew, or forgets to replace some.",
+      "The next leader restarts running replicas, or does not replace lost "
+      "ones.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 45, .kind = kLeaderCrash, .restart_s = 3},
@@ -48,11 +51,12 @@
       0.01);
 }
 
-// Services in outages, that exit by themselves, or that are cancelled.
+// Services during outages, whose replicas exit, or that are cancelled.
 void AddServiceFailures(ScenarioTable& table) {
   table.Add(
       "services_in_outages",
-      "Replicas stay lost after outages of the state service and the cloud.",
+      "Lost replicas are not replaced after outages of the state service and "
+      "the cloud.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 50, .kind = kStateServiceOutage, .for_s = 22},
@@ -63,20 +67,22 @@
           {.at_s = 140, .kind = kStateServiceRefusesLeader, .for_s = 30},
       });
   table.last().options.run_time_factor = 2;
-  table.Add("replicas_end",
-            "A service whose replicas exit is told done, or its machines are "
-            "released as faulty.",
-            ExpectedProgress::kAllJobs,
-            {
-                {.at_s = 60, .kind = kMachineFailsTasks},
-                {.at_s = 70, .kind = kLeaderCrash, .restart_s = 3},
-            },
-            0.01);
+  table.Add(
+      "replicas_end",
+      "A service whose replicas exit is reported done, or its machines are "
+      "released as faulty.",
+      ExpectedProgress::kAllJobs,
+      {
+          {.at_s = 60, .kind = kMachineFailsTasks},
+          {.at_s = 70, .kind = kLeaderCrash, .restart_s = 3},
+      },
+      0.01);
   table.last().options.exiting_service_share = 0.5;
   table.last().options.crash_looping_service = true;
   table.Add(
       "services_cancelled",
-      "Replicas go on after the cancellation of their service was confirmed.",
+      "Replicas keep running after the cancellation of their service was "
+      "confirmed.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 50, .kind = kLeaderCrash, .restart_s = 3},
@@ -90,17 +96,18 @@
   table.last().options.cancel_share = 0.7;
 }
 
-// The rolling upgrade to the version that knows the state service's coming
-// limits, which come into force soon after.
+// A rolling upgrade to the version that supports the upcoming, smaller limits
+// of the state service; the limits drop soon after the upgrade.
 void AddRollingUpgrades(ScenarioTable& table) {
+  // "roll" is the rolling upgrade.
   table.Add("roll",
-            "Something is lost between the two versions, or a write is over "
-            "the new limits.",
+            "Jobs or results are lost between the two versions, or a write "
+            "exceeds the new limits.",
             ExpectedProgress::kAllJobs, {});
   UseRollingUpgrade(table.last(), /*limits_drop_at_s=*/60);
   table.Add(
       "roll_in_trouble",
-      "Takeovers and late messages during the upgrade break a rule.",
+      "Failovers and late messages during the upgrade break an invariant.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 18, .kind = kLeaderCrash, .restart_s = 0.2},
@@ -120,13 +127,12 @@
   UseRollingUpgrade(table.last(), /*limits_drop_at_s=*/60);
 }
 
-// The rolling upgrade to the version that knows the state service's coming
-// limits, which come into force soon after,
-// while much else goes wrong.
+// The same upgrade with services and other faults.
 void AddUpgradesWithServices(ScenarioTable& table) {
   table.Add(
       "limits_fall_with_leaders",
-      "A leader that begins as the limits drop goes on with the larger ones.",
+      "A leader that takes over as the limits drop keeps using the larger "
+      "limits.",
       ExpectedProgress::kAllJobs,
       {
           {.at_s = 50, .kind = kLeaderCrash, .restart_s = 0.2},
@@ -138,7 +144,8 @@
   UseRollingUpgrade(table.last(), /*limits_drop_at_s=*/58);
   table.Add(
       "services_meet_all",
-      "Services, the upgrade and many faults break a rule together.",
+      "Services, the upgrade and many faults break an invariant when they "
+      "overlap.",
       ExpectedProgress::kSomeJobs,
       {
           {.at_s = 18, .kind = kLeaderCrash, .restart_s = 0.2},
@@ -174,7 +181,8 @@
   options.services = 4;
   options.duration_s = 600;
   options.jobs = 16;
-  options.policy.speculation_limit_s = 900;  // services leave little of a limit
+  options.policy.speculation_limit_s =
+      900;  // services use most of each team limit
   ScenarioTable table(kSeeds, options);
   AddServices(table);
   AddServiceFailures(table);
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -64,11 +64,11 @@
   RandomSource& random() { return random_; }
   ActiveFaults& faults() { return faults_; }
   // Whether the fault is active and hits the message at hand.
-  bool Hits(const PartialFault& fault) {
+  bool DrawHit(const PartialFault& fault) {
     return now() < fault.until_s && random_.Chance(fault.share);
   }
   // Draws the time (s) that a message takes on a healthy network.
-  double NetworkLatency() { return 0.002 + 0.01 * random_.Uniform(); }
+  double DrawNetworkLatency() { return 0.002 + 0.01 * random_.Uniform(); }
   // Clients and workers number their requests from one counter.
   uint64_t NextRequestId() { return next_request_++; }
   // When the last injected fault ends (s).
--- a/tests/simulation/state_network.cc
+++ b/tests/simulation/state_network.cc
@@ -39,32 +39,32 @@
 void StateNetwork::SendCall(int controller, const Call& call) {
   const SimulationOptions& options = cluster_.options();
   RandomSource& random = cluster_.random();
-  const ProcessId client = cluster_.controllers().Current(controller);
-  if (cluster_.controllers().Partitioned(controller)) {
+  const ProcessId client = cluster_.controllers().CurrentProcess(controller);
+  if (cluster_.controllers().IsPartitioned(controller)) {
     const ControllerProcess& process =
         cluster_.controllers().process(controller);
-    CarryOutUnanswered(client, call, process.partitioned_until_s);
+    ServeAfterTimeout(client, call, process.partitioned_until_s);
     return;
   }
   const bool lost = random.Chance(options.loss_probability);
   bool answer_lost = random.Chance(options.loss_probability);
   if (call.is_transaction) {
-    if (cluster_.Hits(cluster_.faults().late_transactions)) {
-      CarryOutUnanswered(client, call,
+    if (cluster_.DrawHit(cluster_.faults().late_transactions)) {
+      ServeAfterTimeout(client, call,
                          cluster_.now() + 2 + 10 * random.Uniform());
       return;
     }
-    if (cluster_.Hits(cluster_.faults().transaction_answers_lost))
+    if (cluster_.DrawHit(cluster_.faults().transaction_answers_lost))
       answer_lost = true;
   }
   if (random.Chance(options.late_probability) ||
       random.Chance(options.duplicate_probability))
     cluster_.events().After(
         0.5 + 30 * random.Uniform(),
-        [this, controller, call] { CarryOutIfServed(controller, call); });
+        [this, controller, call] { ServeUnlessRefused(controller, call); });
   const double latency_s = DrawLatency();
   if (latency_s > kTimeoutS) {
-    CarryOutUnanswered(client, call, cluster_.now() + latency_s);
+    ServeAfterTimeout(client, call, cluster_.now() + latency_s);
     return;
   }
   cluster_.events().After(latency_s, [this, client, call, lost, answer_lost] {
@@ -74,23 +74,23 @@
 
 double StateNetwork::DrawLatency() {
   if (cluster_.now() >= cluster_.faults().state_slow_until_s)
-    return cluster_.NetworkLatency();
+    return cluster_.DrawNetworkLatency();
   // Thirty times slower: most answers take some 0.2 s, a few many seconds.
   RandomSource& random = cluster_.random();
   return random.Chance(0.05) ? 8 * random.Uniform()
                              : 0.15 + 0.1 * random.Uniform();
 }
 
-void StateNetwork::CarryOutIfServed(int controller, const Call& call) {
+void StateNetwork::ServeUnlessRefused(int controller, const Call& call) {
   if (Refuses(controller)) return;
   call.serve();
   AnswerWatchers();
 }
 
-void StateNetwork::CarryOutUnanswered(ProcessId client, const Call& call,
+void StateNetwork::ServeAfterTimeout(ProcessId client, const Call& call,
                                       double at_s) {
   cluster_.events().At(at_s, [this, client, call] {
-    CarryOutIfServed(client.controller, call);
+    ServeUnlessRefused(client.controller, call);
   });
   cluster_.events().After(kTimeoutS, [this, client, id = call.id] {
     StateResult timed_out;
@@ -111,7 +111,7 @@
   }
   result.id = call.id;
   const bool unanswered = result.outcome == Outcome::kUnknown;
-  cluster_.events().After(unanswered ? kTimeoutS : cluster_.NetworkLatency(),
+  cluster_.events().After(unanswered ? kTimeoutS : cluster_.DrawNetworkLatency(),
                           [this, client, result] {
                             cluster_.controllers().DeliverResult(client,
                                                                  result);
@@ -119,8 +119,8 @@
 }
 
 void StateNetwork::Watch(int controller, const StateWatch& watch) {
-  const Watcher watcher{cluster_.controllers().Current(controller), watch};
-  cluster_.events().After(cluster_.NetworkLatency(), [this, watcher] {
+  const Watcher watcher{cluster_.controllers().CurrentProcess(controller), watch};
+  cluster_.events().After(cluster_.DrawNetworkLatency(), [this, watcher] {
     watchers_.push_back(watcher);
     AnswerWatchers();
     cluster_.events().After(kWatchTimeoutS,
@@ -137,9 +137,9 @@
                candidate.watch.id == watcher.watch.id;
       });
   if (it == watchers_.end()) return;
-  StateResult result = cluster_.state_service().ChangesFor(watcher.watch);
+  StateResult result = cluster_.state_service().ReadChanges(watcher.watch);
   if (Refuses(process.controller) ||
-      cluster_.controllers().Partitioned(process.controller))
+      cluster_.controllers().IsPartitioned(process.controller))
     result = StateResult();  // no answer
   result.id = watcher.watch.id;
   watchers_.erase(it);
@@ -151,18 +151,18 @@
     const Watcher watcher = watchers_[i];
     const ProcessId process = watcher.process;
     if (Refuses(process.controller) ||
-        cluster_.controllers().Partitioned(process.controller)) {
+        cluster_.controllers().IsPartitioned(process.controller)) {
       ++i;
       continue;
     }
     const StateResult result =
-        cluster_.state_service().ChangesFor(watcher.watch);
+        cluster_.state_service().ReadChanges(watcher.watch);
     if (result.items.empty()) {
       ++i;
       continue;
     }
     watchers_.erase(watchers_.begin() + static_cast<ptrdiff_t>(i));
-    const double latency_s = cluster_.NetworkLatency();
+    const double latency_s = cluster_.DrawNetworkLatency();
     const double delay_s =
         cluster_.options().max_watch_delay_s * cluster_.random().Uniform();
     cluster_.events().After(latency_s + delay_s, [this, process, result] {
--- a/tests/simulation/state_network.h
+++ b/tests/simulation/state_network.h
@@ -49,8 +49,8 @@
 
   void SendCall(int controller, const Call& call);
   // The call arrives after the client has given up, but it is carried out.
-  void CarryOutUnanswered(ProcessId client, const Call& call, double at_s);
-  void CarryOutIfServed(int controller, const Call& call);
+  void ServeAfterTimeout(ProcessId client, const Call& call, double at_s);
+  void ServeUnlessRefused(int controller, const Call& call);
   void Arrive(ProcessId client, const Call& call, bool lost, bool answer_lost);
   // Draws the time (s) that a request takes.
   double DrawLatency();
--- a/tests/simulation/state_service.cc
+++ b/tests/simulation/state_service.cc
@@ -21,7 +21,7 @@
   return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-bool ShowsCompletion(const CompletionRecord& record, uint32_t task) {
+bool ContainsCompletion(const CompletionRecord& record, uint32_t task) {
   const uint32_t first = record.first_task.value_or(0);
   if (task < first) return false;
   const size_t digit = (task - first) / kTasksPerDigit;
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-void SimulatedStateService::Apply(const Mutation& mutation) {
+void SimulatedStateService::ApplyMutation(const Mutation& mutation) {
   KeyValue item;
   item.key = mutation.key;
   item.version = revision_;
@@ -48,7 +48,7 @@
 
 StateResult SimulatedStateService::Serve(const StateTransaction& request) {
   StateResult result;
-  result.refusal = RefusalOf(request);
+  result.refusal = FindExceededLimit(request);
   if (result.refusal != StateRefusal::kNone) {
     result.outcome = Outcome::kRefused;
     return result;
@@ -60,7 +60,7 @@
     if (version != precondition.version)
       result.failed_preconditions.push_back(precondition.key);
   }
-  if (NamesUnknownLease(request)) {
+  if (UsesUnknownLease(request)) {
     result.outcome = Outcome::kRefused;
     return result;
   }
@@ -70,13 +70,13 @@
     return result;
   }
   if (!request.mutations.empty()) ++revision_;
-  for (const Mutation& mutation : request.mutations) Apply(mutation);
+  for (const Mutation& mutation : request.mutations) ApplyMutation(mutation);
   result.outcome = Outcome::kOk;
   result.revision = revision_;
   return result;
 }
 
-bool SimulatedStateService::NamesUnknownLease(
+bool SimulatedStateService::UsesUnknownLease(
     const StateTransaction& request) const {
   return std::any_of(request.mutations.begin(), request.mutations.end(),
                      [this](const Mutation& mutation) {
@@ -95,7 +95,7 @@
           settings.state_max_mutations_per_transaction};
 }
 
-StateRefusal SimulatedStateService::RefusalOf(const StateTransaction& request) {
+StateRefusal SimulatedStateService::FindExceededLimit(const StateTransaction& request) {
   const StateLimits limits = CurrentLimits();
   bool too_large = false;
   for (const Mutation& mutation : request.mutations) {
@@ -113,14 +113,14 @@
     return StateRefusal::kTooLarge;
   }
   if (!cluster_.options().enforce_write_rate || request.mutations.empty() ||
-      TakeFromWriteBudget(static_cast<double>(request.mutations.size()),
+      ConsumeWriteBudget(static_cast<double>(request.mutations.size()),
                           limits.mutations_per_s))
     return StateRefusal::kNone;
   ++cluster_.statistics().refused_for_rate;
   return StateRefusal::kTooManyChanges;
 }
 
-bool SimulatedStateService::TakeFromWriteBudget(double changes,
+bool SimulatedStateService::ConsumeWriteBudget(double changes,
                                                 double changes_per_s) {
   const double now = cluster_.now();
   // No more is saved up than one second allows.
@@ -174,7 +174,7 @@
   return result;
 }
 
-StateResult SimulatedStateService::ChangesFor(const StateWatch& watch) const {
+StateResult SimulatedStateService::ReadChanges(const StateWatch& watch) const {
   StateResult result;
   result.id = watch.id;
   result.outcome = Outcome::kOk;
@@ -202,7 +202,7 @@
       if (entry.lease == expired) attached.push_back(key);
     if (attached.empty()) continue;
     ++revision_;
-    for (const std::string& key : attached) Apply({true, key, "", 0});
+    for (const std::string& key : attached) ApplyMutation({true, key, "", 0});
     return true;
   }
   return false;
@@ -219,7 +219,7 @@
   for (auto entry = entries_.lower_bound(prefix);
        entry != entries_.end() && StartsWith(entry->first, prefix); ++entry) {
     const auto record = protocol::ParseCompletionRecord(entry->second.value);
-    if (record && ShowsCompletion(*record, task.task)) return true;
+    if (record && ContainsCompletion(*record, task.task)) return true;
   }
   return false;
 }
--- a/tests/simulation/state_service.h
+++ b/tests/simulation/state_service.h
@@ -25,7 +25,7 @@
   StateResult Serve(const LeaseCreate& request);
   StateResult Serve(const LeaseRenew& request);
   // The changes that the watch asks for.
-  StateResult ChangesFor(const StateWatch& watch) const;
+  StateResult ReadChanges(const StateWatch& watch) const;
 
   // Ends leases that have run out until keys went with one. False: no key did.
   bool ExpireNextLease();
@@ -52,14 +52,14 @@
     KeyValue item;
   };
 
-  void Apply(const Mutation& mutation);
-  bool NamesUnknownLease(const StateTransaction& request) const;
+  void ApplyMutation(const Mutation& mutation);
+  bool UsesUnknownLease(const StateTransaction& request) const;
   // The limits that are in force now.
   StateLimits CurrentLimits() const;
   // Whether the transaction is over the limits, and why.
-  StateRefusal RefusalOf(const StateTransaction& request);
+  StateRefusal FindExceededLimit(const StateTransaction& request);
   // Takes the changes out of the budget of the write rate; false: refused.
-  bool TakeFromWriteBudget(double changes, double changes_per_s);
+  bool ConsumeWriteBudget(double changes, double changes_per_s);
 
   SimulatedCluster& cluster_;
   std::map<std::string, Entry> entries_;
--- a/tests/simulation/task_execution.cc
+++ b/tests/simulation/task_execution.cc
@@ -9,9 +9,9 @@
 namespace {
 
 // Run time of a task whose result is kept already, and the least of any (s).
-constexpr double kLeastRunTimeS = 0.1;
+constexpr double kMinRunTimeS = 0.1;
 // Until a task that fails, or a replica that exits at once, has ended (s).
-constexpr double kExitAtOnceS = 0.5;
+constexpr double kImmediateExitS = 0.5;
 // From the end of a hang to the exit of a task that ended during it (s).
 constexpr double kExitAfterHangS = 0.2;
 // Slack for sums of CPUs and memory.
@@ -59,12 +59,12 @@
 
 void TaskExecution::Start(Worker& worker, const Command& command) {
   const ClientJob* job = cluster_.clients().Find(command.job);
-  if (job && job->told_cancelled_s > 0) {
+  if (job && job->reported_cancelled_s > 0) {
     ++cluster_.statistics().late_starts;
     CheckNoStartLongAfterCancellation(cluster_, *job);
   }
   const TaskId id{command.job, command.task};
-  workers_told_to_start_[command.job].insert(worker.name);
+  workers_commanded_to_start_[command.job].insert(worker.name);
   worker.changed = true;
   const auto other = worker.tasks.find(id);
   if (other != worker.tasks.end() && other->second.HoldsResources())
@@ -154,11 +154,11 @@
   double run_s = job.run_s;
   if (cluster_.options().staggered_task_ends) run_s *= 1 + 3 * task.id.task;
   if (job.completed.Contains(task.id.task))
-    run_s = kLeastRunTimeS;
+    run_s = kMinRunTimeS;
   else if (fails)
-    run_s = kExitAtOnceS;
+    run_s = kImmediateExitS;
   else if (saved != job.saved_s.end())
-    run_s = std::max(kLeastRunTimeS, run_s - saved->second);
+    run_s = std::max(kMinRunTimeS, run_s - saved->second);
   ExitAfter(run_s, worker, task, fails);
 }
 
@@ -169,7 +169,7 @@
   double delay_s = 0;
   if (job.crash_loops) ++cluster_.statistics().crash_loop_starts;
   if (job.crash_loops || worker.fails_all_tasks)
-    delay_s = kExitAtOnceS;
+    delay_s = kImmediateExitS;
   else if (job.replicas_exit)
     delay_s = 5 + 30 * random.Uniform();
   else
@@ -212,7 +212,7 @@
   if (!job || job->spec.IsService()) return;
   if (!job->completed.Contains(id.task)) job->completed.Add(id.task);
   if (job->completed.size() != job->spec.tasks ||
-      !cluster_.Hits(cluster_.faults().cancel_at_completion))
+      !cluster_.DrawHit(cluster_.faults().cancel_at_completion))
     return;
   cluster_.events().After(0.6 * cluster_.random().Uniform(),
                           [this, id] { cluster_.clients().Cancel(id.job); });
--- a/tests/simulation/task_execution.h
+++ b/tests/simulation/task_execution.h
@@ -24,8 +24,8 @@
   void Execute(Worker& worker, const std::vector<Command>& commands);
 
   // Workers that were ever told to start a task of the job.
-  const std::set<std::string>& WorkersToldToStart(const std::string& job) {
-    return workers_told_to_start_[job];
+  const std::set<std::string>& WorkersCommandedToStart(const std::string& job) {
+    return workers_commanded_to_start_[job];
   }
 
  private:
@@ -46,7 +46,7 @@
   void RecordCompletion(const TaskId& id);
 
   SimulatedCluster& cluster_;
-  std::map<std::string, std::set<std::string>> workers_told_to_start_;
+  std::map<std::string, std::set<std::string>> workers_commanded_to_start_;
 };
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/workers.cc
+++ b/tests/simulation/workers.cc
@@ -81,7 +81,7 @@
   return it == workers_.end() ? nullptr : it->second.get();
 }
 
-bool SimulatedWorkers::Connected(int controller, const Worker& worker) const {
+bool SimulatedWorkers::IsConnected(int controller, const Worker& worker) const {
   const ControllerProcess& process = cluster_.controllers().process(controller);
   const double now = cluster_.now();
   if (now < worker.partitioned_until_s ||
@@ -92,7 +92,7 @@
          process.zone == worker.zone;
 }
 
-bool SimulatedWorkers::Receives(const Worker& worker) const {
+bool SimulatedWorkers::ReceivesMessages(const Worker& worker) const {
   return cluster_.now() >= worker.hung_until_s &&
          cluster_.now() >= worker.inbound_lost_until_s;
 }
--- a/tests/simulation/workers.h
+++ b/tests/simulation/workers.h
@@ -91,9 +91,9 @@
   WorkersByName& all() { return workers_; }
 
   // Whether packets pass between the controller and the worker.
-  bool Connected(int controller, const Worker& worker) const;
+  bool IsConnected(int controller, const Worker& worker) const;
   // Whether the worker takes in what reaches its machine.
-  bool Receives(const Worker& worker) const;
+  bool ReceivesMessages(const Worker& worker) const;
   bool HoldsLease(const Worker& worker) const;
 
   size_t remaining() const;  // not released
--- a/tests/simulation/workload.cc
+++ b/tests/simulation/workload.cc
@@ -10,7 +10,7 @@
 constexpr int kBestEffortProbes = 60;
 constexpr double kSingleTaskJobsFromS = 20, kSingleTaskJobsForS = 120;
 
-const char* TeamOf(int index) { return index % 2 ? "blue" : "green"; }
+const char* TeamForIndex(int index) { return index % 2 ? "blue" : "green"; }
 
 // Jobs of one kind share the first digit, so that all identifiers differ.
 std::string JobId(int first_digit, int index) {
@@ -110,7 +110,7 @@
     JobSpec spec;
     spec.id = JobId(3, i);
     spec.job_class = "single";
-    spec.team = TeamOf(i);
+    spec.team = TeamForIndex(i);
     spec.tasks = 1;
     spec.cpus = 1;
     spec.memory_gb = 1;
@@ -131,7 +131,7 @@
     JobSpec spec;
     spec.id = JobId(4, i);
     spec.job_class = "service";
-    spec.team = TeamOf(i);
+    spec.team = TeamForIndex(i);
     spec.shape = JobShape::kService;
     spec.priority = Priority::kProduction;
     spec.tasks = 3 + static_cast<uint32_t>(random_.Below(3));
