--- a/tests/simulation/action_digest.cc
+++ b/tests/simulation/action_digest.cc
@@ -22,7 +22,9 @@
   hash_.Add(text.data(), text.size());
 }
 
-void ActionDigest::AddNumber(double number) { hash_.Add(&number, sizeof(number)); }
+void ActionDigest::AddNumber(double number) {
+  hash_.Add(&number, sizeof(number));
+}
 
 void ActionDigest::AddFields(const StateTransaction& action) {
   AddInteger(action.id);
@@ -55,7 +57,9 @@
   AddInteger(action.id);
   AddInteger(action.lease);
 }
-void ActionDigest::AddFields(const FetchCatalog& action) { AddInteger(action.id); }
+void ActionDigest::AddFields(const FetchCatalog& action) {
+  AddInteger(action.id);
+}
 void ActionDigest::AddFields(const ProvisionMachines& action) {
   AddInteger(action.id);
   AddText(protocol::EncodeProvisioningRecord(action.record));
@@ -66,7 +70,9 @@
   AddText(protocol::EncodeReleaseRequest(action.machines));
   AddNumber(action.not_after);
 }
-void ActionDigest::AddFields(const ListCloudMachines& action) { AddInteger(action.id); }
+void ActionDigest::AddFields(const ListCloudMachines& action) {
+  AddInteger(action.id);
+}
 void ActionDigest::AddFields(const PushedCommands& action) {
   AddInteger(action.id);
   AddText(action.machine);
--- a/tests/simulation/action_digest.h
+++ b/tests/simulation/action_digest.h
@@ -1,5 +1,5 @@
-// A digest of everything that cores ask for, so that a change that should not
-// change behaviour can be shown to change none.
+// A digest of all actions of the controllers except log events. An equal digest
+// before and after a refactoring shows that the behaviour is unchanged.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 class ActionDigest {
  public:
-  // Takes in one action, as the node `node` returned it.
+  // Adds an action that controller `node` returned.
   void Add(int node, const Action& action);
   uint64_t value() const { return hash_.value(); }
 
@@ -39,7 +39,7 @@
   void AddFields(const ClientResponse& action);
   void AddFields(const HeartbeatResponse& action);
   void AddFields(const SendPeerStatus& action);
-  void AddFields(const LogEvent&) {}  // LogSummary counts them
+  void AddFields(const LogEvent&) {}  // LogSummary covers these
 
   FnvHash hash_;
 };
--- a/tests/simulation/action_dispatcher.cc
+++ b/tests/simulation/action_dispatcher.cc
@@ -7,7 +7,7 @@
 namespace sorrelwood::test {
 namespace {
 
-// After so long a controller gives up waiting for a worker's answer (s).
+// Time-out of a controller for a worker's answer (s).
 constexpr double kPushTimeoutS = 1.5;
 
 }  // namespace
@@ -91,9 +91,10 @@
   }
   result.heartbeat = worker->MakeHeartbeat(cluster_.now());
   if (!answer) return;
-  cluster_.events().After(cluster_.DrawNetworkLatency(), [this, sender, result] {
-    cluster_.controllers().DeliverResult(sender, result);
-  });
+  cluster_.events().After(
+      cluster_.DrawNetworkLatency(), [this, sender, result] {
+        cluster_.controllers().DeliverResult(sender, result);
+      });
 }
 
 void ActionDispatcher::Perform(int controller, const SendPeerStatus& status) {
--- a/tests/simulation/action_dispatcher.h
+++ b/tests/simulation/action_dispatcher.h
@@ -1,4 +1,5 @@
-// Carries the actions of controllers to whom they concern.
+// Routes the actions of controllers to the simulated state service, cloud,
+// workers, clients and peers.
 #pragma once
 
 #include "core/engine/actions.h"
@@ -12,7 +13,7 @@
  public:
   explicit ActionDispatcher(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  // `controller` is the index of the one that decided the action.
+  // `controller` is the index of the controller that returned the action.
   void Perform(int controller, const Action& action);
 
  private:
@@ -22,7 +23,7 @@
   void Perform(int controller, const StateWatch& watch);
   void Perform(int controller, const LeaseCreate& create);
   void Perform(int controller, const LeaseRenew& renew);
-  void Perform(int, const LeaseEnd&) {}  // leases end by not being renewed
+  void Perform(int, const LeaseEnd&) {}  // leases end only by expiry
   void Perform(int controller, const FetchCatalog& fetch);
   void Perform(int controller, const ProvisionMachines& provision);
   void Perform(int controller, const ReleaseMachines& release);
@@ -31,9 +32,9 @@
   void Perform(int controller, const ClientResponse& response);
   void Perform(int controller, const HeartbeatResponse& response);
   void Perform(int controller, const SendPeerStatus& status);
-  void Perform(int, const LogEvent&) {}  // counted as they are written
+  void Perform(int, const LogEvent&) {}  // LogSummary covers these
 
-  // The pushed commands reach their machine.
+  // Handles pushed commands on their machine; `answer`: sends a result back.
   void ArriveAtWorker(ProcessId sender, const PushedCommands& push,
                       bool answer);
   bool ArePeersConnected(int sender, int receiver) const;
--- a/tests/simulation/active_faults.h
+++ b/tests/simulation/active_faults.h
@@ -1,11 +1,11 @@
-// The injected faults that concern the whole cluster, by the time at which they
-// end (s; in the past: not active). Those of single controllers and machines
-// stand in ControllerProcess and Worker.
+// The injected faults of the whole cluster, each with the time at which it ends
+// (s); a fault that ended in the past is not active. ControllerProcess and
+// Worker hold the faults of single controllers and machines.
 #pragma once
 
 namespace sorrelwood::test {
 
-// Hits a share of the messages, requests or jobs.
+// A fault that affects a share of the messages, requests or jobs.
 struct PartialFault {
   double until_s = 0;
   double share = 0;
--- a/tests/simulation/clients.cc
+++ b/tests/simulation/clients.cc
@@ -12,11 +12,12 @@
 namespace {
 
 constexpr double kCancelIntervalS = 2;
-constexpr double kEndedJobPollIntervalS = 15;  // of a job whose end was told
+constexpr double kEndedJobPollIntervalS =
+    15;  // of a job whose final state was reported
 constexpr double kPollOverloadFactor = 10;
 constexpr double kUnusualRequestIntervalS = 0.5;
-constexpr int kPollsOfEachController = 3;
-// Machines that hang when running jobs are cancelled, at most.
+constexpr int kPollsPerController = 3;
+// The most machines that hang when running jobs are cancelled.
 constexpr size_t kMaxHangingMachines = 8;
 
 bool IsSuccess(const ClientResponse& response) {
@@ -131,7 +132,7 @@
   ClientJob& job = *found;
   CheckAcceptedJobIsNotRefused(cluster_, job, request, response);
   if (!IsSuccess(response)) {
-    // It may have been recorded all the same.
+    // The submission may have been recorded nevertheless.
     if (PollsOnChange() && request.kind == Kind::kSubmit && !job.accepted &&
         cluster_.now() > job.last_poll_everywhere_s + 1)
       PollEverywhere(job);
@@ -143,7 +144,8 @@
   const ReportedState reported = ParseState(response);
   CheckFinalStateIsKept(cluster_, job, request, response, reported);
   if (reported.done && job.reported_done_s == 0) OnReportedDone(job);
-  if (reported.cancelled && job.reported_cancelled_s == 0) OnReportedCancelled(job);
+  if (reported.cancelled && job.reported_cancelled_s == 0)
+    OnReportedCancelled(job);
 }
 
 void SimulatedClients::OnAccepted(ClientJob& job) {
@@ -187,7 +189,7 @@
   job.last_poll_everywhere_s = cluster_.now();
   RandomSource& random = cluster_.random();
   for (int i = 0; i < cluster_.controllers().size(); ++i) {
-    for (int poll = 0; poll < kPollsOfEachController; ++poll)
+    for (int poll = 0; poll < kPollsPerController; ++poll)
       SendOnceAfter(0.001 + 0.02 * poll * random.Uniform(), i, Kind::kPoll,
                     job.spec.id);
     SendOnceAfter(0.001 + 0.03 * random.Uniform(), i, Kind::kSubmit,
--- a/tests/simulation/clients.h
+++ b/tests/simulation/clients.h
@@ -1,5 +1,5 @@
-// The clients: they submit jobs, poll and cancel them through any controller,
-// and remember what they were told.
+// The clients: they submit, poll and cancel jobs through any controller, and
+// record the reported states.
 #pragma once
 
 #include <cstdint>
@@ -16,21 +16,21 @@
 
 class SimulatedCluster;
 
-// A job with its client. Times are seconds since the start of the run; 0: not
-// yet.
+// A job and its client's view of it. Times are seconds since the start of the
+// run; 0: not yet.
 struct ClientJob {
   JobSpec spec;
   double run_s = 10;              // of each task
-  bool fails_everywhere = false;  // every task of it fails
+  bool fails_everywhere = false;  // every attempt at its tasks fails
   bool crash_loops = false;       // a service whose replicas exit at once
-  bool replicas_exit = false;     // some time after their start
+  bool replicas_exit = false;     // a service whose replicas exit after a while
 
-  // The true progress.
-  IntervalSet completed;               // tasks; workers keep their results
-  std::map<uint32_t, double> saved_s;  // progress of tasks that were stopped
+  // The true progress, as workers know it.
+  IntervalSet completed;               // tasks with a result
+  std::map<uint32_t, double> saved_s;  // saved progress by task
   double first_start_s = 0, last_start_s = 0;
 
-  // What the client asked for and was told.
+  // What the client requested and what controllers reported.
   bool submitted = false, accepted = false, cancel_requested = false;
   bool final_state_reported = false;
   double accepted_s = 0;
@@ -38,9 +38,9 @@
   double last_answer_s = 0;
   double last_poll_everywhere_s = 0;
 
-  // What the periodic checks remember of it.
-  double waits_since_s = 0;     // beside free capacity that fits
-  double degraded_since_s = 0;  // a service without all its replicas
+  // State of the periodic checks.
+  double waits_since_s = 0;     // although free capacity fits
+  double degraded_since_s = 0;  // a service lacks replicas
 };
 
 struct ClientRequest {
@@ -52,7 +52,7 @@
   double sent_s = 0;
 };
 
-// The state of a job that a controller tells in its answer.
+// The final states in a controller's response.
 struct ReportedState {
   bool done = false, cancelled = false;
 };
@@ -63,15 +63,16 @@
 
   explicit SimulatedClients(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  // The job is submitted at `at_s`, and cancelled at `cancel_at_s` unless that
-  // is 0.
+  // Submits the job at `at_s`, and cancels it at `cancel_at_s` unless that is
+  // 0.
   ClientJob& AddJob(double at_s, JobSpec spec, double run_s,
                     double cancel_at_s = 0);
-  // Cancels the job, again and again until a controller confirms it.
+  // Cancels the job, with retries until a final state is reported.
   void Cancel(const std::string& id);
-  // Cancels up to `count` running jobs; for `hang_s` machines of theirs hang.
+  // Cancels up to `count` running jobs; if `hang_s` is not 0, machines that run
+  // them hang for this duration.
   void CancelRunningJobs(size_t count, double hang_s);
-  // Sends unusual requests while that fault is active.
+  // Sends unusual requests as long as kUnusualRequests is active.
   void SendUnusualRequests();
   void OnResponse(const ClientResponse& response);
 
@@ -80,11 +81,11 @@
   ClientJob* Find(const std::string& id);
   JobsById& all() { return jobs_; }
 
-  // From the acceptance of a job to being told that it is done (s).
+  // The mean time from the acceptance of a job until it is reported done (s).
   double MeanJobTime() const;
-  // Accepted services whose cancellation was not confirmed.
+  // The number of accepted services whose cancellation is not confirmed.
   int ServicesLeft() const;
-  // The jobs that are neither done nor cancelled, for messages of tests.
+  // Describes the jobs without a reported final state, for test failures.
   std::string DescribeUnfinished() const;
 
  private:
@@ -92,15 +93,16 @@
 
   void Submit(const std::string& id);
   void Poll(const std::string& id);
-  // Sends a request of the kind, unless the controller can't be reached.
+  // Sends a request, unless the controller is not reachable.
   void Send(int controller, Kind kind, const JobSpec& spec, uint64_t request);
   uint64_t NewRequest(const std::string& id, Kind kind);
-  // One more request, beside those that the client repeats.
+  // Sends an additional request, which is not repeated.
   void SendOnceAfter(double delay_s, int controller, Kind kind,
                      const std::string& id);
-  // Polls all controllers, and repeats the submission, within milliseconds.
+  // Polls all controllers several times and repeats the submission to each, all
+  // within 50 ms.
   void PollEverywhere(ClientJob& job);
-  // A job that no controller may accept.
+  // Submits a job that no controller may accept.
   void SubmitInvalidJob(int controller, JobSpec spec);
 
   void OnAccepted(ClientJob& job);
--- a/tests/simulation/cloud.cc
+++ b/tests/simulation/cloud.cc
@@ -10,9 +10,9 @@
 namespace sorrelwood::test {
 namespace {
 
-constexpr double kBootS = 8;  // usual time until a machine is up
+constexpr double kBootS = 8;  // from provisioning until a machine is up; varies
 constexpr double kSlowBootFactor = 6;
-constexpr double kInstantBootS = 0.02;  // less than any request takes
+constexpr double kInstantBootS = 0.02;  // less than the latency of a request
 constexpr double kSecondsPerHour = 3600;
 
 }  // namespace
--- a/tests/simulation/cloud.h
+++ b/tests/simulation/cloud.h
@@ -1,5 +1,5 @@
-// The cloud: machine types, capacity, machines and their inventory. It answers
-// at once; CloudNetwork carries the messages.
+// The cloud: machine types, capacity, machines and their inventory. It serves
+// requests at once; CloudNetwork simulates delay and loss.
 #pragma once
 
 #include <map>
@@ -15,10 +15,10 @@
 class SimulatedCluster;
 struct Worker;
 
-// Notice before a spot machine is taken back (s).
+// Notice before the preemption of a spot machine (s).
 inline constexpr double kSpotNoticeS = 8;
 
-// What a machine is provisioned as.
+// Machines with equal type, zone and price model, which share a capacity.
 struct MachineOffer {
   std::string type, zone;
   bool spot = false;
@@ -33,18 +33,19 @@
  public:
   explicit SimulatedCloud(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  // Sets how many machines of each offer there are.
+  // Sets the capacity of each offer.
   void OfferMachines();
 
   CloudResult Serve(const FetchCatalog& request) const;
   CloudResult Serve(const ProvisionMachines& request);
   CloudResult Serve(const ReleaseMachines& request);
-  // The inventory lags: what is answered is that of a few seconds ago.
+  // Returns an outdated inventory: one to two times
+  // ClusterSettings::cloud_list_lag_s old.
   CloudResult Serve(const ListCloudMachines& request);
 
-  // Gives notice that a spot machine is taken back, and takes it back.
+  // Gives notice, and removes the spot machine after `notice_s`.
   void Preempt(Worker& worker, double notice_s);
-  // The machine is gone, with all that is on it.
+  // Removes the machine with all its tasks.
   void Remove(const std::string& machine);
 
   int machines_provisioned() const { return next_machine_ - 1; }
@@ -59,10 +60,11 @@
   Inventory CurrentInventory() const;
 
   SimulatedCluster& cluster_;
-  std::map<MachineOffer, int> capacity_;  // machines that can still be had
+  std::map<MachineOffer, int> capacity_;  // machines still available
   // The machines of each provisioning request, by its name.
   std::map<std::string, std::vector<std::string>> provisioned_;
-  std::vector<std::pair<double, Inventory>> inventories_;  // by time (s)
+  std::vector<std::pair<double, Inventory>>
+      inventories_;  // with their time (s)
   int next_machine_ = 1;
 };
 
--- a/tests/simulation/cloud_network.cc
+++ b/tests/simulation/cloud_network.cc
@@ -5,7 +5,7 @@
 namespace sorrelwood::test {
 namespace {
 
-// After so long a client gives up waiting for an answer (s).
+// Time-out of a controller for a response (s).
 constexpr double kTimeoutS = 5;
 
 }  // namespace
@@ -75,7 +75,7 @@
 
 void CloudNetwork::Arrive(ProcessId client, const Call& call, bool lost,
                           bool answer_lost) {
-  CloudResult result;  // says that the outcome is unknown
+  CloudResult result;  // its default outcome is kUnknown
   if (!lost && InOutage()) {
     result.outcome = Outcome::kRefused;
   } else if (!lost) {
@@ -84,11 +84,11 @@
   }
   result.id = call.id;
   const bool unanswered = result.outcome == Outcome::kUnknown;
-  cluster_.events().After(unanswered ? kTimeoutS : cluster_.DrawNetworkLatency(),
-                          [this, client, result] {
-                            cluster_.controllers().DeliverResult(client,
-                                                                 result);
-                          });
+  cluster_.events().After(
+      unanswered ? kTimeoutS : cluster_.DrawNetworkLatency(),
+      [this, client, result] {
+        cluster_.controllers().DeliverResult(client, result);
+      });
 }
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/cloud_network.h
+++ b/tests/simulation/cloud_network.h
@@ -1,5 +1,5 @@
-// Carries requests of controllers to the cloud and its answers back: late, lost
-// or not at all, as the options and the active faults say.
+// Delivers requests of controllers to the cloud and its responses back, with
+// the delays and losses of the options and the active faults.
 #pragma once
 
 #include <cstdint>
@@ -16,14 +16,14 @@
  public:
   explicit CloudNetwork(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  // Sends a request of the controller's present process.
+  // Sends a request of the controller's current process.
   template <typename Request>
   void Send(int controller, const Request& request) {
     SendCall(controller,
              {request.id, [this, request] { return Serve(request); }});
   }
-  // As the cloud's client does: what was decided before a pause is not sent
-  // once another leader may act.
+  // Does not send a request after its `not_after`, like the real cloud client:
+  // after a pause another leader may act.
   template <typename Request>
   void SendBeforeDeadline(int controller, const Request& request) {
     if (SteadyClock(controller) > request.not_after)
@@ -47,7 +47,7 @@
   double SteadyClock(int controller) const;
   void ReportTooLate(int controller, uint64_t request);
   void SendCall(int controller, const Call& call);
-  // The call arrives when a partition ends; its client has given up by then.
+  // Serves the call when the partition ends; the client gets a time-out.
   void ServeAfterPartition(ProcessId client, const Call& call);
   void Arrive(ProcessId client, const Call& call, bool lost, bool answer_lost);
   bool InOutage() const;
--- a/tests/simulation/controllers.cc
+++ b/tests/simulation/controllers.cc
@@ -12,13 +12,13 @@
 namespace sorrelwood::test {
 namespace {
 
-// Time of day at the start of a run (s).
+// Wall-clock time at the start of a run (s).
 constexpr double kStartWallTimeS = 1e9;
-// Clocks of the day differ by up to half of it (s).
+// Wall clocks deviate by up to half of this (s).
 constexpr double kWallClockErrorS = 0.005;
-// From deciding an action to sending it (s).
+// Time between the decision of an action and its sending (s).
 constexpr double kSendDelayS = 0.003;
-// Restart of a controller in the rolling upgrade (s).
+// Approximate restart time of a controller in the rolling upgrade (s).
 constexpr double kUpgradeRestartS = 3;
 
 double ThreadProcessorTimeS() {
@@ -196,7 +196,7 @@
 }
 
 double SimulatedControllers::SteadyClock(int index) const {
-  // Steady clocks of different machines have nothing in common.
+  // Steady clocks of different machines have unrelated origins and rates.
   return cluster_.now() * processes_[index].clock_rate + 100.0 * index;
 }
 
--- a/tests/simulation/controllers.h
+++ b/tests/simulation/controllers.h
@@ -1,5 +1,5 @@
-// The controller processes: when they start and end, the inputs that reach
-// them, and the time at which their actions leave.
+// The controller processes: their starts and crashes, the inputs delivered to
+// them, and the time at which their actions are sent.
 #pragma once
 
 #include <functional>
@@ -15,8 +15,8 @@
 
 class SimulatedCluster;
 
-// One process of a controller. An input for a process that has ended is lost,
-// also when the controller has been started again.
+// A process of a controller. An input for a process that has ended is lost,
+// even if the controller has restarted.
 struct ProcessId {
   int controller = 0;
   int generation = 0;  // counts the processes of the controller
@@ -27,11 +27,12 @@
   int generation = 0;
   bool up = false;
   std::string zone;
-  double clock_rate = 1;  // seconds of its steady clock in one second
-  // Whether it has the version that knows the state service's coming limits.
+  double clock_rate = 1;  // speed of its steady clock
+  // Whether it runs the version that supports the upcoming limits of the state
+  // service.
   bool supports_upcoming_limits = true;
 
-  // Injected faults, by the time at which they end (s).
+  // Injected faults, each with the time at which it ends (s).
   double state_refused_until_s = 0;
   double partitioned_from_workers_until_s = 0;
   double partitioned_from_peers_until_s = 0;
@@ -48,16 +49,16 @@
 
   // Creates the controllers; each starts within the first tenth of a second.
   void CreateAll();
-  // Kills one controller after the other; each comes back in the version that
-  // knows the state service's coming limits.
+  // Kills one controller after the other; each restarts in the version that
+  // supports the upcoming limits of the state service.
   void ScheduleRollingUpgrade();
   void Start(int index);
-  // Ends the process; another starts after 0.2 to 1.2 times `restart_s`.
+  // Ends the process; a new one starts after 0.2 to 1.2 times `restart_s`.
   void Crash(int index, double restart_s);
 
-  // Gives the input to the process. While that is paused inputs queue up.
+  // Delivers the input to the process, after its pause if it is paused.
   void Deliver(ProcessId id, const Input& input);
-  // The same for the answer of a service to a request of the process.
+  // Delivers the result of a request of the process.
   template <typename Result>
   void DeliverResult(ProcessId id, const Result& result) {
     Deliver(id, [result](Controller& controller, Controller::Time time) {
@@ -70,16 +71,16 @@
   const ControllerProcess& process(int index) const {
     return processes_[index];
   }
-  // The process that the controller has now, or had last.
+  // The running process of the controller, or else its last one.
   ProcessId CurrentProcess(int index) const {
     return {index, processes_[index].generation};
   }
-  // Draws the controller that a client or a new worker turns to.
+  // Draws the controller that a client or a new worker sends a request to.
   int DrawIndex();
-  // Whether requests of clients arrive.
+  // Whether requests of clients reach the controller.
   bool IsReachableByClients(int index) const;
   bool IsPartitioned(int index) const;
-  // The controller that leads; -1: none.
+  // The index of the leader; -1: none.
   int LeaderIndex() const;
   // The controller's steady clock (s).
   double SteadyClock(int index) const;
@@ -88,8 +89,8 @@
   void Tick(ProcessId id);
   void RecordStatistics(int index);
   void HandleActions(int index, Actions actions);
-  // Lets the event happen once the process has sent it: after a pause, if one
-  // came between; never, if the process has ended.
+  // Runs the event when the process has sent it: after the process's pause, if
+  // it is paused; never, if the process has ended.
   void SendLater(int index, const Event& event);
   void CountReleaseOfHealthyMachine(const LogEvent& event);
 
--- a/tests/simulation/event_queue.h
+++ b/tests/simulation/event_queue.h
@@ -1,4 +1,4 @@
-// The virtual clock and the events that are due on it.
+// The virtual clock and the events scheduled on it.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
     At(now_ + delay_s, std::move(event));
   }
 
-  // Whether an event is due at `time_s` or before.
+  // Whether an event is scheduled at or before `time_s`.
   bool HasEventBy(double time_s) const {
     return !events_.empty() && events_.top().time_s <= time_s;
   }
-  // Takes out the next event and moves the clock to its time.
+  // Removes the next event and advances the clock to its time.
   Event TakeNext();
 
  private:
@@ -34,7 +34,7 @@
     uint64_t order = 0;
     Event event;
 
-    // std::priority_queue has its greatest element on top.
+    // Reversed, because std::priority_queue has its greatest element on top.
     bool operator<(const ScheduledEvent& other) const {
       return time_s != other.time_s ? time_s > other.time_s
                                     : order > other.order;
--- a/tests/simulation/fault_injector.cc
+++ b/tests/simulation/fault_injector.cc
@@ -8,7 +8,7 @@
 namespace sorrelwood::test {
 namespace {
 
-// Faults of the whole cluster, by the member that holds their end.
+// Faults of the whole cluster, with the member that holds the end of the fault.
 struct ClusterFault {
   FaultKind kind;
   double ActiveFaults::*until_s;
@@ -25,7 +25,7 @@
      &ActiveFaults::poll_all_on_change_until_s},
 };
 
-// Faults of a share of the messages or jobs.
+// Faults that affect a share of the messages or jobs.
 struct MessageFault {
   FaultKind kind;
   PartialFault ActiveFaults::*fault;
@@ -41,7 +41,7 @@
     {FaultKind::kCancelAtCompletion, &ActiveFaults::cancel_at_completion},
 };
 
-// Faults of one controller. A kind may stand in several rows.
+// Faults of a single controller. A kind may have several rows.
 enum class Role { kLeader, kFollower };
 struct ControllerFault {
   FaultKind kind;
@@ -104,12 +104,13 @@
   const Targets targets = DrawTargets(fault);
   const bool known = BeginClusterFault(fault) || BeginMessageFault(fault) ||
                      BeginControllerFault(fault, targets) ||
-                     BeginMachineFault(fault, targets) || RunHandler(fault, targets);
-  if (!known) std::abort();  // the kind is missing in the tables
+                     BeginMachineFault(fault, targets) ||
+                     RunHandler(fault, targets);
+  if (!known) std::abort();  // the kind is missing from the tables
 }
 
-// Draws for every kind, also for those that need no target: what follows in the
-// run does not depend on the kind.
+// Makes the same draws for every kind of fault, also for those without a
+// target, so that the rest of a run does not depend on the kind.
 FaultInjector::Targets FaultInjector::DrawTargets(const Fault& fault) {
   Targets targets;
   for (auto& [name, worker] : cluster_.workers().all())
@@ -117,11 +118,14 @@
       targets.running.push_back(worker.get());
   RandomSource& random = cluster_.random();
   if (!targets.running.empty())
-    targets.random_machine = targets.running[random.Below(targets.running.size())];
+    targets.random_machine =
+        targets.running[random.Below(targets.running.size())];
   targets.affected = targets.running;
-  if (fault.count == 1 && targets.random_machine) targets.affected = {targets.random_machine};
+  if (fault.count == 1 && targets.random_machine)
+    targets.affected = {targets.random_machine};
   if (fault.count > 1)
-    std::shuffle(targets.affected.begin(), targets.affected.end(), random.engine());
+    std::shuffle(targets.affected.begin(), targets.affected.end(),
+                 random.engine());
   targets.affected.resize(std::min(targets.affected.size(), fault.count));
   targets.leader = cluster_.controllers().LeaderIndex();
   targets.follower =
@@ -148,7 +152,7 @@
 }
 
 bool FaultInjector::BeginControllerFault(const Fault& fault,
-                                       const Targets& targets) {
+                                         const Targets& targets) {
   bool known = false;
   for (const ControllerFault& row : kControllerFaults) {
     if (row.kind != fault.kind) continue;
@@ -163,7 +167,7 @@
 }
 
 bool FaultInjector::BeginMachineFault(const Fault& fault,
-                                    const Targets& targets) {
+                                      const Targets& targets) {
   for (const MachineFault& row : kMachineFaults) {
     if (row.kind != fault.kind) continue;
     for (Worker* worker : targets.affected)
@@ -220,7 +224,8 @@
 }
 
 void FaultInjector::RestartMachine(const Fault&, const Targets& targets) {
-  if (targets.random_machine) cluster_.workers().Restart(*targets.random_machine);
+  if (targets.random_machine)
+    cluster_.workers().Restart(*targets.random_machine);
 }
 
 void FaultInjector::MakeMachineFailTasks(const Fault&, const Targets& targets) {
--- a/tests/simulation/fault_injector.h
+++ b/tests/simulation/fault_injector.h
@@ -1,4 +1,4 @@
-// Makes injected faults begin.
+// Starts the injected faults of a run.
 #pragma once
 
 #include <vector>
@@ -17,13 +17,13 @@
 
   void Inject(const Fault& fault);
 
-  // Whom a fault can hit.
+  // The controllers and machines that a fault can affect.
   struct Targets {
-    int leader = -1;  // index of the controller that leads; -1: none
-    int follower = 0;
-    std::vector<Worker*> running;  // all machines that are up
-    Worker* one = nullptr;         // of these; null: there is none
-    std::vector<Worker*> chosen;   // `count` of these
+    int leader = -1;                   // index of the leader; -1: none
+    int follower = 0;                  // index
+    std::vector<Worker*> running;      // all running machines
+    Worker* random_machine = nullptr;  // one of `running`; null: none runs
+    std::vector<Worker*> affected;     // up to `Fault::count` of `running`
   };
 
  private:
@@ -33,12 +33,12 @@
     FaultKind kind;
     Handler handler;
   };
-  // Faults that do more than to last for some time.
+  // The kinds that need their own code to start.
   static const FaultHandler kHandlers[];
 
   Targets DrawTargets(const Fault& fault);
-  // Faults that last for some time, by what they concern. Whether the kind is
-  // such a fault.
+  // Each function starts the fault and returns true if it is responsible for
+  // the fault's kind. The first four only set the time at which the fault ends.
   bool BeginClusterFault(const Fault& fault);
   bool BeginMessageFault(const Fault& fault);
   bool BeginControllerFault(const Fault& fault, const Targets& targets);
--- a/tests/simulation/heartbeats.cc
+++ b/tests/simulation/heartbeats.cc
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-// Just under the time after which a worker gives up (s).
+// Just below a worker's time-out for a response (s).
 constexpr double kLateResponseS = 3.8;
-// Pause before a worker tries another controller, told which or not (s).
+// Pause before a worker tries another controller: one that the response names,
+// or else the next (s).
 constexpr double kRedirectPauseS = 0.3, kRetryPauseS = 1;
 
 }  // namespace
@@ -41,7 +42,7 @@
     Deliver(controller, request, heartbeat);
   };
   if (!cluster_.workers().IsConnected(controller, worker)) {
-    // Held by the partition and delivered when it ends, minutes late.
+    // Delivered when the partition ends, up to minutes late.
     const ControllerProcess& process =
         cluster_.controllers().process(controller);
     const double until_s = std::max(
@@ -96,7 +97,7 @@
 }
 
 void Heartbeats::SendResponse(const HeartbeatResponse& response) {
-  // Now and then a response comes just before the worker gives up.
+  // A late response may arrive just before the worker's time-out.
   RandomSource& random = cluster_.random();
   const double delay_s = random.Chance(cluster_.options().late_probability)
                              ? kLateResponseS * random.Uniform()
@@ -116,7 +117,7 @@
   if (!cluster_.workers().IsConnected(heartbeat.controller, *worker) ||
       !cluster_.workers().ReceivesMessages(*worker) ||
       cluster_.random().Chance(cluster_.options().loss_probability))
-    return;  // lost: the worker gives up later
+    return;  // lost: the worker's time-out follows
   worker->awaits_response = false;
   if (response.status != kStatusOk) {
     FollowRedirect(*worker, heartbeat, response);
@@ -124,7 +125,7 @@
   }
   if (response.fencing_token < worker->fencing_token ||
       heartbeat.incarnation != worker->incarnation)
-    return;  // of an earlier leader, or for an earlier incarnation
+    return;  // from an earlier leader, or for an earlier incarnation
   worker->AdoptFencingToken(response.fencing_token);
   worker->lease_from_s = std::max(worker->lease_from_s, heartbeat.sent_at_s);
   cluster_.tasks().Execute(*worker, response.commands);
@@ -138,7 +139,7 @@
     worker.next_heartbeat_s = cluster_.now() + kRetryPauseS;
     return;
   }
-  // Names of controllers end in their index.
+  // The name of a controller ends in its index.
   worker.controller = response.redirect.back() - '0';
   worker.next_heartbeat_s = cluster_.now() + kRedirectPauseS;
 }
--- a/tests/simulation/heartbeats.h
+++ b/tests/simulation/heartbeats.h
@@ -1,5 +1,5 @@
-// Carries heartbeats of workers to controllers and the responses back: late,
-// lost, twice or not at all, as the options and the active faults say.
+// Delivers heartbeats of workers to controllers and the responses back, with
+// the delays, losses and duplicates of the options and the active faults.
 #pragma once
 
 #include <cstdint>
@@ -21,11 +21,11 @@
 
   void Send(Worker& worker);
   void SendResponse(const HeartbeatResponse& response);
-  // Delivers the copies that were kept for the next leader to all controllers.
+  // Delivers to all controllers the copies that were kept for the next leader.
   void ReplayToAllControllers();
 
  private:
-  // A heartbeat that was sent and not answered yet.
+  // A heartbeat without a response so far.
   struct Pending {
     std::string worker;
     int controller = 0;
@@ -33,12 +33,12 @@
     double sent_at_s = 0;
   };
 
-  // To the process that the controller has then; counted as a heartbeat.
+  // Delivers to the controller's process at that time; counts the heartbeat.
   void Deliver(int controller, uint64_t request, const Heartbeat& heartbeat);
   void ScheduleDeliveries(const Worker& worker, uint64_t request,
                           const Heartbeat& heartbeat);
   void ReceiveResponse(const HeartbeatResponse& response);
-  // The controller does not lead: the worker turns to another.
+  // Makes the worker try another controller, because this one does not lead.
   void FollowRedirect(Worker& worker, const Pending& heartbeat,
                       const HeartbeatResponse& response);
 
--- a/tests/simulation/log_summary.h
+++ b/tests/simulation/log_summary.h
@@ -1,6 +1,6 @@
-// Counts the log lines of cores by level and hashes their texts, apart from the
-// digest of the other actions: a change may reword lines and still be shown to
-// log as often as before.
+// Counts the log lines of the controllers by level and hashes their texts,
+// separately from the digest of the other actions: a change that rewords log
+// lines can show that their number is unchanged.
 #pragma once
 
 #include <cstdint>
@@ -16,7 +16,7 @@
     uint64_t debug = 0, info = 0, error = 0;
   };
 
-  // Takes in one event, as the node `node` logged it.
+  // Adds an event that controller `node` logged.
   void Add(int node, const LogEvent& event);
   const Counts& counts() const { return counts_; }
   uint64_t text_digest() const { return texts_.value(); }
--- a/tests/simulation/options.h
+++ b/tests/simulation/options.h
@@ -1,5 +1,5 @@
-// What a simulated run consists of: its size, its workload, the unreliability
-// of its network, and the faults that are injected at given times.
+// Options of a simulated run: size, workload, network unreliability, and faults
+// injected at given times.
 #pragma once
 
 #include <cstddef>
@@ -10,165 +10,174 @@
 
 namespace sorrelwood::test {
 
-// "The leader" is the controller that leads when the fault begins (without one
-// nothing happens), "the follower" is the controller after it.
+// "The leader" is the controller that leads when the fault begins; without a
+// leader the fault has no effect. "The follower" is the controller with the
+// next index, or with index 1 if there is no leader.
 enum class FaultKind {
-  // Processes end and start anew about `restart_s` later.
+  // Processes crash and restart about `restart_s` later.
   kLeaderCrash,
   kFollowerCrash,
   kAllControllersCrash,
-  // Processes stand still while clocks go on; what they had decided before
-  // leaves after the pause.
+  // Processes are suspended while clocks advance; actions that were decided
+  // before the pause are sent after it.
   kLeaderPause,
   kAllControllersPause,
-  // No packet leaves or reaches the controller; requests that it sent meanwhile
-  // arrive at the end.
+  // No packet leaves or reaches the controller; requests that it sends during
+  // the partition arrive when it ends.
   kLeaderPartition,
   kFollowerPartition,
+  // No packet passes between the leader and the workers.
   kLeaderPartitionedFromWorkers,
-  // Neither the state service nor the other controllers can be reached, but
-  // workers and clients can.
+  // The controller is connected to workers and clients, but not to the state
+  // service and the other controllers.
   kLeaderWithoutStateAndPeers,
   kFollowerWithoutStateAndPeers,
   kStateServiceRefusesLeader,
   kStateServiceRefusesFollower,
-  // No message between controllers arrives.
+  // All messages between controllers are lost.
   kPeerMessagesLost,
-  // Controllers and workers of different zones can't reach each other.
+  // Controllers and workers of different zones are disconnected.
   kZonePartition,
 
   kStateServiceOutage,
   kStateServiceSlow,
-  // `share` of the transactions is carried out 2 to 12 s late, unanswered.
+  // `share` of the transactions is executed 2 to 12 s late, without response.
   kLateTransactions,
-  // `share` of the transactions is carried out at once, unanswered.
+  // `share` of the transactions is executed in time, but the response is lost.
   kTransactionAnswersLost,
 
   kCloudOutage,
-  // Machines provisioned meanwhile boot six times as slowly, one in five never.
+  // Machines that are provisioned during the fault take six times as long to
+  // boot; one in five never boots.
   kSlowBoots,
-  // Machines are up before the provisioning request is answered.
+  // Machines are up before the response to the provisioning request arrives.
   kInstantBoots,
-  // Half of the spot machines are taken back after a notice of 8 s.
+  // Each spot machine is preempted with probability 1/2, after 8 s notice.
   kSpotPreemptionWave,
 
-  // The next kinds hit `count` machines each.
+  // The kinds below affect `count` machines, unless noted otherwise.
   kMachineCrash,
-  // Tasks go on, but packets are held until the partition ends.
+  // Tasks keep running; heartbeats are delayed until the partition ends.
   kMachinePartition,
-  // Nothing is executed; tasks don't end.
+  // The machine executes nothing; its tasks don't end.
   kMachineHang,
-  // Heartbeats arrive; answers and pushed commands don't.
+  // Heartbeats arrive; their responses and pushed commands don't.
   kMachineInboundLoss,
   // Heartbeats don't arrive; pushed commands do.
   kMachineOutboundLoss,
-  // The worker process restarts at once, in a new incarnation (one machine).
+  // The worker process restarts at once with a new incarnation (one machine).
   kMachineRestart,
-  // Every task that starts on it fails (one machine).
+  // Every task that starts on the machine fails (one machine).
   kMachineFailsTasks,
-  // A third of all machines at once: half of them crash, half hang.
+  // A third of all machines fails at once: half of these crash, half hang.
   kMassMachineLoss,
 
-  // A copy of `share` of the heartbeats arrives 2 s to 1.5 leases later.
+  // A copy of `share` of the heartbeats arrives late, by 2 s to 2 s plus 1.5
+  // worker leases.
   kHeartbeatsDuplicatedLate,
-  // A copy of `share` of the heartbeats reaches every controller just as the
-  // next leader begins.
+  // A copy of `share` of the heartbeats reaches every controller just after the
+  // next failover.
   kHeartbeatsReplayedToNextLeader,
 
-  // Clients cancel `count` running jobs; with for_s, up to eight machines that
-  // run them hang for so long.
+  // Clients cancel `count` running jobs; with `for_s`, up to eight machines
+  // that
+  // run them hang for this duration.
   kCancelRunningJobs,
-  // Clients cancel `share` of the jobs whose last task has just ended.
+  // Clients cancel `share` of the jobs just after their last task has ended.
   kCancelAtCompletion,
-  // Clients poll ten times as often, also for jobs that nobody submitted.
+  // Clients poll ten times as often, also for jobs that were never submitted.
   kPollOverload,
-  // Clients repeat submissions, cancel what is done, and submit jobs that fit
-  // nowhere.
+  // Clients repeat submissions, cancel jobs that are done, and submit invalid
+  // jobs.
   kUnusualRequests,
-  // Clients poll every controller within milliseconds of each change.
+  // Clients poll every controller within milliseconds of each change of a job.
   kPollAllControllersOnChange,
 };
 
 struct Fault {
   double at_s = 0;
   FaultKind kind = FaultKind::kLeaderCrash;
-  double for_s = 0;      // duration; 0 where a kind has none
-  double restart_s = 0;  // about the time until a crashed process is back
-  double share = 0.5;    // of messages or jobs
-  size_t count = 1;      // of machines or jobs
+  double for_s = 0;      // duration, for kinds that last
+  double restart_s = 0;  // approximate time until the restart, for crashes
+  double share = 0.5;    // of messages or jobs, for kinds with a share
+  size_t count = 1;      // of machines or jobs, for kinds with a count
 };
 
-// Times are seconds since the start of the run unless said otherwise.
+// Times are seconds since the start of the run unless noted otherwise.
 struct SimulationOptions {
   uint64_t seed = 1;
   int controllers = 3;
   double duration_s = 900;
 
-  // The network, as probabilities for each message.
-  double loss_probability = 0;       // the request or its answer is lost
-  double duplicate_probability = 0;  // carried out a second time, later
-  // Carried out long after the sender gave up.
+  // Network unreliability, as probabilities for each message.
+  double loss_probability = 0;  // for the request, and again for its response
+  double duplicate_probability = 0;  // processed a second time, later
+  // Processed again long after the sender's time-out, or answered late.
   double late_probability = 0;
-  // A copy of a heartbeat arrives, up to 40 s later.
+  // A copy of a heartbeat arrives 1 to 41 s later.
   double heartbeat_copy_probability = 0;
   double max_watch_delay_s = 0;  // of the state service's notifications
 
   // The cloud.
   double boot_failure_probability = 0;
   double spot_preemptions_per_hour = 0;  // of each spot machine
-  int capacity_factor = 1;               // of the machines on offer
-  // Some 1,500 machines in three zones, arrays of up to 3,000 tasks, and the
-  // heartbeats, leases and rates of a large deployment.
+  int capacity_factor = 1;               // multiplies the machines on offer
+  // 1,500 machines in three zones, arrays of up to 3,000 tasks, and the
+  // heartbeat interval, worker lease and rates of a large deployment.
   bool large_fleet = false;
-  double fleet_scale = 1;  // of its machines, limits and rates
+  double fleet_scale =
+      1;  // multiplies machines and team quotas of a large fleet
 
   // Array jobs of two teams.
   int jobs = 24;
   double submit_until_s = 120;
   double cancel_share = 0.1;
-  double run_time_factor = 1;     // of the tasks' run times
-  double checkpoint_share = 0.3;  // of the jobs can save their progress
+  double run_time_factor = 1;     // multiplies the run times of tasks
+  double checkpoint_share = 0.3;  // jobs that can save their progress
   double failing_job_share = 0;   // jobs that fail everywhere until cancelled
   double one_zone_share = 0.2;    // of the jobs
-  // Jobs of two or three tasks, each taking longer than the one before.
+  // Jobs have two or three tasks, and each task runs longer than the previous.
   bool staggered_task_ends = false;
 
-  // A team without guarantee or limit, with one large array and many jobs of a
-  // single task.
+  // Adds a team without guarantee or limit, with one large array and many
+  // single-task jobs.
   bool best_effort_team = false;
-  // Jobs of a single task from 20 s to 140 s, a quarter of them cancelled.
+  // Submits single-task jobs from 20 s to 140 s; a quarter are cancelled.
   double single_task_jobs_per_s = 0;
-  // An array of 3,000 short tasks, whose progress outgrows the smaller limits.
+  // Adds an array of 3,000 short tasks, whose progress record is larger than
+  // the dropped limit of a value.
   bool long_array = false;
-  // Arrays of one team, which come within `burst_for_s`; all save progress.
+  // Arrays of one team, all able to save progress, submitted within
+  // `burst_for_s` from `burst_at_s` on.
   int burst_jobs = 0;
   uint32_t burst_tasks = 12;  // of each array
   double burst_at_s = 60, burst_for_s = 30;
 
-  // Services, submitted from `services_from_s` on. The replicas of a share of
-  // them exit by themselves, done or failed, after some 20 s; those of a crash
-  // looping service exit at once.
+  // Services are submitted within 60 s from `services_from_s` on. The replicas
+  // of `exiting_service_share` of them exit 5 to 35 s after their start, done
+  // or failed. The replicas of the crash-looping service exit after 0.5 s.
   int services = 0;
   double services_from_s = 20;
   double exiting_service_share = 0;
   bool crash_looping_service = false;
 
-  // The controllers begin without knowledge of the state service's coming
-  // limits, as the version before, and are killed one after the other from this
-  // time on, to come back with it; one that crashes before its turn does not.
-  // 0: no upgrade.
+  // Controllers start in the old version, which does not support the upcoming
+  // limits of the state service. From this time on they are killed one after
+  // the other and restart in the new version. A controller that crashes before
+  // its turn restarts in the old version. 0: no upgrade.
   double rolling_upgrade_at_s = 0;
   double rolling_upgrade_interval_s = 6;
-  // The state service has its smaller limits from then on. 0: never.
+  // The state service enforces `dropped_state_limits` from this time on. 0:
+  // never.
   double state_limits_drop_at_s = 0;
   StateLimits dropped_state_limits{42, 0.6, 4};
-  bool enforce_write_rate = false;  // changes beyond the rate are refused
+  bool enforce_write_rate = false;  // refuses changes that exceed the rate
 
   PolicySettings policy;
   std::vector<Fault> faults;
 
-  size_t check_interval_steps = 1;  // events between two looks at all machines
-  bool debug_log = false;           // the controllers write debug lines too
+  size_t check_interval_steps = 1;  // events between two checks of all machines
+  bool debug_log = false;           // controllers also log debug lines
 };
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/random_source.h
+++ b/tests/simulation/random_source.h
@@ -1,5 +1,5 @@
-// The only source of randomness of a run. The order of its draws makes the run:
-// a draw that is added, left out or moved changes everything after it.
+// The only source of randomness of a run. The order of draws determines the
+// run: a draw that is added, removed or moved changes everything after it.
 #pragma once
 
 #include <cstdint>
--- a/tests/simulation/scenarios/basic_scenarios.cc
+++ b/tests/simulation/scenarios/basic_scenarios.cc
@@ -135,6 +135,7 @@
       ExpectedProgress::kAllJobs,
       {{.at_s = 50, .kind = kLeaderWithoutStateAndPeers, .for_s = 60}}, 0.01);
   table.last().options.controllers = 5;
+  // "siblings" are the other controllers.
   table.Add(
       "siblings_refuse",
       "A failover does not complete without messages between controllers.",
@@ -354,6 +355,7 @@
                 {.at_s = 60, .kind = kStateServiceSlow, .for_s = 15},
             });
   table.last().options.controllers = 5;
+  // "guests" is the team without a guarantee.
   table.Add(
       "guests",
       "A team without a guarantee uses capacity that is guaranteed to other "
--- a/tests/simulation/scenarios/combined_scenarios.cc
+++ b/tests/simulation/scenarios/combined_scenarios.cc
@@ -64,8 +64,7 @@
 // than the cancellation deadline, while clients cancel through another
 // controller.
 void AddStateServiceRefusals(ScenarioTable& table) {
-  // "gap" is the time between the two refusals and their end, in which the
-  // leader cannot read cancellations.
+  // "gap" is the time in which the leader cannot read cancellations.
   table.Add("gap",
             "A leader starts jobs whose cancellation was confirmed while it "
             "could not read the state service.",
@@ -334,6 +333,7 @@
 
 // Clients poll all controllers after each change, or submit unusual jobs.
 void AddClientBehaviour(ScenarioTable& table) {
+  // "close looks": clients poll all controllers right after each change.
   table.Add(
       "close_looks",
       "Two controllers report different states of a job at the same time.",
--- a/tests/simulation/simulated_cluster.cc
+++ b/tests/simulation/simulated_cluster.cc
@@ -7,7 +7,7 @@
 namespace sorrelwood::test {
 namespace {
 
-// A run with more violated invariants is given up.
+// A run with more violations is aborted.
 constexpr size_t kMaxViolations = 20;
 
 }  // namespace
--- a/tests/simulation/simulated_cluster.h
+++ b/tests/simulation/simulated_cluster.h
@@ -1,7 +1,7 @@
-// A whole cluster in one process: real controllers beside a simulated state
-// service, cloud, workers and clients, on a virtual clock, all drawn from one
-// seed. It keeps its own account of what runs on each machine and checks every
-// invariant of the protocol after each step.
+// A cluster in one process: real controllers with a simulated state service,
+// cloud, workers and clients on a virtual clock. All randomness comes from one
+// seed. The simulation tracks what runs on each machine and checks the
+// invariants of the protocol.
 #pragma once
 
 #include <cstdint>
@@ -38,17 +38,17 @@
   SimulatedCluster(const SimulatedCluster&) = delete;
   SimulatedCluster& operator=(const SimulatedCluster&) = delete;
 
-  // Plays the run to its end, or until too many invariants are violated.
+  // Runs to the end, or until there are too many violations.
   void Run();
 
   // Violated invariants, each with its time.
   const std::vector<std::string>& violations() const { return violations_; }
   const SimulationStatistics& statistics() const { return statistics_; }
-  // Of all actions of all controllers so far.
+  // The digest of all actions of all controllers so far.
   uint64_t digest() const { return digest_.value(); }
   const LogSummary& log_summary() const { return log_summary_; }
 
-  // --- For the parts of the cluster ----------------------------------------
+  // --- For the components of the simulation --------------------------------
 
   const SimulationOptions& options() const { return options_; }
   const ClusterSettings& settings() const { return settings_; }
@@ -56,24 +56,25 @@
     return machine_types_;
   }
   const MachineType& machine_type(const std::string& name) const;
-  // The CPUs that a team may use at most; 0: no such team.
+  // The CPU limit of a team; 0: no such team.
   double TeamCpuLimit(const std::string& team) const;
 
   double now() const { return events_.now(); }
   EventQueue& events() { return events_; }
   RandomSource& random() { return random_; }
   ActiveFaults& faults() { return faults_; }
-  // Whether the fault is active and hits the message at hand.
+  // Whether the fault is active and affects the current message or job; draws
+  // only if it is active.
   bool DrawHit(const PartialFault& fault) {
     return now() < fault.until_s && random_.Chance(fault.share);
   }
-  // Draws the time (s) that a message takes on a healthy network.
+  // Draws the latency (s) of a message on a healthy network.
   double DrawNetworkLatency() { return 0.002 + 0.01 * random_.Uniform(); }
   // Clients and workers number their requests from one counter.
   uint64_t NextRequestId() { return next_request_++; }
   // When the last injected fault ends (s).
   double faults_end_s() const { return faults_end_s_; }
-  // Messages are lost so often that nothing can be promised about progress.
+  // Whether messages are lost so often that progress is not guaranteed.
   bool NetworkIsUnusable() const { return options_.loss_probability > 0.05; }
 
   void ReportViolation(const std::string& what);
--- a/tests/simulation/state_network.cc
+++ b/tests/simulation/state_network.cc
@@ -7,9 +7,10 @@
 namespace sorrelwood::test {
 namespace {
 
-// After so long a client gives up waiting for an answer (s).
+// Time-out of a controller for a response (s).
 constexpr double kTimeoutS = 2;
-// As long as the service waits for a change, and the client's slack (s).
+// The time that the service waits for a change, with the client's allowance
+// (s).
 constexpr double kWatchTimeoutS = 2;
 
 }  // namespace
@@ -51,7 +52,7 @@
   if (call.is_transaction) {
     if (cluster_.DrawHit(cluster_.faults().late_transactions)) {
       ServeAfterTimeout(client, call,
-                         cluster_.now() + 2 + 10 * random.Uniform());
+                        cluster_.now() + 2 + 10 * random.Uniform());
       return;
     }
     if (cluster_.DrawHit(cluster_.faults().transaction_answers_lost))
@@ -75,7 +76,8 @@
 double StateNetwork::DrawLatency() {
   if (cluster_.now() >= cluster_.faults().state_slow_until_s)
     return cluster_.DrawNetworkLatency();
-  // Thirty times slower: most answers take some 0.2 s, a few many seconds.
+  // Most responses take about 0.2 s, thirty times the usual; one in twenty
+  // takes up to 8 s.
   RandomSource& random = cluster_.random();
   return random.Chance(0.05) ? 8 * random.Uniform()
                              : 0.15 + 0.1 * random.Uniform();
@@ -88,7 +90,7 @@
 }
 
 void StateNetwork::ServeAfterTimeout(ProcessId client, const Call& call,
-                                      double at_s) {
+                                     double at_s) {
   cluster_.events().At(at_s, [this, client, call] {
     ServeUnlessRefused(client.controller, call);
   });
@@ -101,7 +103,7 @@
 
 void StateNetwork::Arrive(ProcessId client, const Call& call, bool lost,
                           bool answer_lost) {
-  StateResult result;  // says that the outcome is unknown
+  StateResult result;  // its default outcome is kUnknown
   if (!lost && Refuses(client.controller)) {
     result.outcome = Outcome::kRefused;
   } else if (!lost) {
@@ -111,15 +113,16 @@
   }
   result.id = call.id;
   const bool unanswered = result.outcome == Outcome::kUnknown;
-  cluster_.events().After(unanswered ? kTimeoutS : cluster_.DrawNetworkLatency(),
-                          [this, client, result] {
-                            cluster_.controllers().DeliverResult(client,
-                                                                 result);
-                          });
+  cluster_.events().After(
+      unanswered ? kTimeoutS : cluster_.DrawNetworkLatency(),
+      [this, client, result] {
+        cluster_.controllers().DeliverResult(client, result);
+      });
 }
 
 void StateNetwork::Watch(int controller, const StateWatch& watch) {
-  const Watcher watcher{cluster_.controllers().CurrentProcess(controller), watch};
+  const Watcher watcher{cluster_.controllers().CurrentProcess(controller),
+                        watch};
   cluster_.events().After(cluster_.DrawNetworkLatency(), [this, watcher] {
     watchers_.push_back(watcher);
     AnswerWatchers();
@@ -140,7 +143,7 @@
   StateResult result = cluster_.state_service().ReadChanges(watcher.watch);
   if (Refuses(process.controller) ||
       cluster_.controllers().IsPartitioned(process.controller))
-    result = StateResult();  // no answer
+    result = StateResult();  // no response
   result.id = watcher.watch.id;
   watchers_.erase(it);
   cluster_.controllers().DeliverResult(process, result);
--- a/tests/simulation/state_network.h
+++ b/tests/simulation/state_network.h
@@ -1,5 +1,5 @@
-// Carries requests of controllers to the state service and its answers back:
-// late, lost, twice or not at all, as the options and the active faults say.
+// Delivers requests of controllers to the state service and its responses back,
+// with the delays, losses and duplicates of the options and the active faults.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
  public:
   explicit StateNetwork(SimulatedCluster& cluster) : cluster_(cluster) {}
 
-  // Sends a request of the controller's present process.
+  // Sends a request of the controller's current process.
   template <typename Request>
   void Send(int controller, const Request& request) {
     SendCall(controller, {request.id, std::is_same_v<Request, StateTransaction>,
@@ -26,7 +26,7 @@
   }
   void Watch(int controller, const StateWatch& watch);
 
-  // Ends the leases that have run out, as often as time passes.
+  // Ends the leases that have expired; called at every step.
   void ExpireLeases();
 
  private:
@@ -48,16 +48,16 @@
   StateResult Serve(const LeaseRenew& request);
 
   void SendCall(int controller, const Call& call);
-  // The call arrives after the client has given up, but it is carried out.
+  // Serves the call at `at_s`; the client gets a time-out.
   void ServeAfterTimeout(ProcessId client, const Call& call, double at_s);
   void ServeUnlessRefused(int controller, const Call& call);
   void Arrive(ProcessId client, const Call& call, bool lost, bool answer_lost);
-  // Draws the time (s) that a request takes.
+  // Draws the latency (s) of a request.
   double DrawLatency();
   // Whether the service refuses the controller's requests.
   bool Refuses(int controller) const;
   void TimeOutWatch(const Watcher& watcher);
-  // Answers the watches for which there are changes.
+  // Answers the watches that have changes.
   void AnswerWatchers();
 
   SimulatedCluster& cluster_;
--- a/tests/simulation/state_service.cc
+++ b/tests/simulation/state_service.cc
@@ -13,8 +13,8 @@
 constexpr char kProgressPrefix[] = "sw/progress/";
 constexpr char kFinalPrefix[] = "sw/w/final/";
 constexpr char kProvisioningPrefix[] = "sw/rent/";
-// Completed tasks are stored as a bit each, four to a hexadecimal digit, the
-// first task in the lowest bit.
+// Each hexadecimal digit holds the completion bits of four tasks, the first
+// task in the lowest bit.
 constexpr uint32_t kTasksPerDigit = 4;
 
 bool StartsWith(const std::string& text, std::string_view prefix) {
@@ -95,7 +95,8 @@
           settings.state_max_mutations_per_transaction};
 }
 
-StateRefusal SimulatedStateService::FindExceededLimit(const StateTransaction& request) {
+StateRefusal SimulatedStateService::FindExceededLimit(
+    const StateTransaction& request) {
   const StateLimits limits = CurrentLimits();
   bool too_large = false;
   for (const Mutation& mutation : request.mutations) {
@@ -114,16 +115,16 @@
   }
   if (!cluster_.options().enforce_write_rate || request.mutations.empty() ||
       ConsumeWriteBudget(static_cast<double>(request.mutations.size()),
-                          limits.mutations_per_s))
+                         limits.mutations_per_s))
     return StateRefusal::kNone;
   ++cluster_.statistics().refused_for_rate;
   return StateRefusal::kTooManyChanges;
 }
 
 bool SimulatedStateService::ConsumeWriteBudget(double changes,
-                                                double changes_per_s) {
+                                               double changes_per_s) {
   const double now = cluster_.now();
-  // No more is saved up than one second allows.
+  // The budget accumulates for at most one second.
   write_budget_ =
       std::min(changes_per_s,
                write_budget_ + (now - write_budget_at_s_) * changes_per_s);
@@ -230,7 +231,7 @@
 }
 
 bool SimulatedStateService::HasSplitProgress() const {
-  // The keys of parts end in a dot and the number of the part.
+  // Keys of split values end in a dot and the number of the part.
   return std::any_of(changes_.begin(), changes_.end(),
                      [](const Change& change) {
                        return StartsWith(change.item.key, kProgressPrefix) &&
--- a/tests/simulation/state_service.h
+++ b/tests/simulation/state_service.h
@@ -1,5 +1,5 @@
-// The state service: versioned keys, transactions, leases and the changes that
-// watches ask for. It answers at once; StateNetwork carries the messages.
+// The state service: versioned keys, transactions, leases and watches. It
+// serves requests at once; StateNetwork simulates delay and loss.
 #pragma once
 
 #include <cstdint>
@@ -24,18 +24,19 @@
   StateResult Serve(const StateList& request) const;
   StateResult Serve(const LeaseCreate& request);
   StateResult Serve(const LeaseRenew& request);
-  // The changes that the watch asks for.
+  // Returns the changes that match the watch.
   StateResult ReadChanges(const StateWatch& watch) const;
 
-  // Ends leases that have run out until keys went with one. False: no key did.
+  // Ends expired leases up to and including the first that has keys, which are
+  // removed. False: no key was removed.
   bool ExpireNextLease();
-  // As after an outage: leases begin anew.
+  // Restarts the time of all leases, as after an outage.
   void RestartLeases();
 
-  // Whether the result of a task is in a stored record.
+  // Whether a stored record contains the result of the task.
   bool HasResult(const TaskId& task) const;
   bool HasProvisioningRecord(const std::string& name) const;
-  // Whether the progress of some job was ever written in several values.
+  // Whether the progress of any job was ever stored in several values.
   bool HasSplitProgress() const;
 
  private:
@@ -54,11 +55,11 @@
 
   void ApplyMutation(const Mutation& mutation);
   bool UsesUnknownLease(const StateTransaction& request) const;
-  // The limits that are in force now.
+  // The limits in force now.
   StateLimits CurrentLimits() const;
-  // Whether the transaction is over the limits, and why.
+  // The limit that the transaction exceeds, or kNone.
   StateRefusal FindExceededLimit(const StateTransaction& request);
-  // Takes the changes out of the budget of the write rate; false: refused.
+  // Deducts the changes from the budget of the write rate; false: refused.
   bool ConsumeWriteBudget(double changes, double changes_per_s);
 
   SimulatedCluster& cluster_;
@@ -69,7 +70,7 @@
   uint64_t next_lease_ = 1;
   double write_budget_ = 0;  // changes
   double write_budget_at_s_ = 0;
-  std::map<std::string, int> refusals_by_value_;  // of keys with their values
+  std::map<std::string, int> refusals_by_value_;  // by key followed by value
 };
 
 }  // namespace sorrelwood::test
--- a/tests/simulation/statistics.cc
+++ b/tests/simulation/statistics.cc
@@ -3,7 +3,7 @@
 namespace sorrelwood::test {
 namespace {
 
-// Each term of a leader counts anew.
+// The increase of a counter, which restarts from 0 in each term of a leader.
 uint64_t CounterIncrease(uint64_t now, uint64_t before) {
   return now >= before ? now - before : now;
 }
@@ -25,7 +25,8 @@
 void SimulationStatistics::AddRebalancing(
     double now_s, const Rebalancer::Statistics& measured, double margin) {
   moves_begun += CounterIncrease(measured.started, last_rebalancing_.started);
-  moves_finished += CounterIncrease(measured.finished, last_rebalancing_.finished);
+  moves_finished +=
+      CounterIncrease(measured.finished, last_rebalancing_.finished);
   last_rebalancing_ = measured;
   imbalance_by_second[static_cast<int>(now_s)] = measured.imbalance;
   if (measured.imbalance > margin) unbalanced_until_s = now_s;
--- a/tests/simulation/task_execution.cc
+++ b/tests/simulation/task_execution.cc
@@ -8,14 +8,14 @@
 namespace sorrelwood::test {
 namespace {
 
-// Run time of a task whose result is kept already, and the least of any (s).
+// Minimum run time, and run time of a task whose result exists already (s).
 constexpr double kMinRunTimeS = 0.1;
-// Until a task that fails, or a replica that exits at once, has ended (s).
+// Run time of a task that fails, or of a replica that exits at once (s).
 constexpr double kImmediateExitS = 0.5;
-// From the end of a hang to the exit of a task that ended during it (s).
+// Delay from the end of a hang to the exit of tasks that ended during it (s).
 constexpr double kExitAfterHangS = 0.2;
-// Slack for sums of CPUs and memory.
-constexpr double kRounding = 1e-9;
+// Tolerance for rounding errors in sums of CPUs and memory.
+constexpr double kRoundingTolerance = 1e-9;
 
 }  // namespace
 
@@ -52,7 +52,8 @@
     memory_gb += spec.memory_gb;
   }
   const MachineType& type = cluster_.machine_type(worker.type);
-  if (cpus > type.cpus + kRounding || memory_gb > type.memory_gb + kRounding)
+  if (cpus > type.cpus + kRoundingTolerance ||
+      memory_gb > type.memory_gb + kRoundingTolerance)
     return ExitReason::kInsufficientResources;
   return ExitReason::kNone;
 }
@@ -68,7 +69,7 @@
   worker.changed = true;
   const auto other = worker.tasks.find(id);
   if (other != worker.tasks.end() && other->second.HoldsResources())
-    return;  // refused: another attempt is under way
+    return;  // refused: another attempt is in progress
   WorkerTask task;
   task.id = id;
   task.attempt = command.attempt;
@@ -89,7 +90,8 @@
   const bool saves = task.state == TaskState::kRunning &&
                      spec.checkpoint_interval_s > 0 && grace_s >= spec.save_s;
   if (!saves) {
-    // A task that is saving is left to it, unless it is stopped at once.
+    // A task that is saving its progress may finish, unless there is no grace
+    // period.
     if (task.state != TaskState::kSaving || grace_s == 0)
       Exit(worker, task, ExitReason::kStopped);
     return;
@@ -129,7 +131,7 @@
     });
     return;
   }
-  // The lease is looked at before anything starts.
+  // A worker without a lease starts nothing.
   if (!cluster_.workers().HoldsLease(worker)) return;
   WorkerTask& task = it->second;
   CheckTaskMayStart(cluster_, worker, task);
--- a/tests/simulation/task_execution.h
+++ b/tests/simulation/task_execution.h
@@ -1,4 +1,4 @@
-// What workers do with commands: tasks fetch their image, run, save their
+// Execution of commands on workers: tasks fetch their image, run, save their
 // progress and exit.
 #pragma once
 
@@ -23,7 +23,7 @@
 
   void Execute(Worker& worker, const std::vector<Command>& commands);
 
-  // Workers that were ever told to start a task of the job.
+  // Workers that ever received a command to start a task of the job.
   const std::set<std::string>& WorkersCommandedToStart(const std::string& job) {
     return workers_commanded_to_start_[job];
   }
@@ -33,13 +33,13 @@
   void Stop(Worker& worker, WorkerTask& task, double grace_s);
   void Forget(Worker& worker, const WorkerTask& task);
 
-  // Why the worker refuses to start the task; kNone: it does not.
+  // Why the worker refuses to start the task; kNone: it accepts.
   ExitReason ReasonToRefuse(const Worker& worker, const Command& command) const;
   void OnImageFetched(const std::string& machine, const TaskId& id,
                       uint64_t attempt);
   void ScheduleExit(const Worker& worker, WorkerTask& task);
   void ScheduleReplicaExit(const Worker& worker, WorkerTask& task);
-  // Ends the task after so long, unless its state changes before.
+  // Ends the task after `delay_s`, unless its state changes before.
   void ExitAfter(double delay_s, const Worker& worker, WorkerTask& task,
                  bool fails);
   void Exit(Worker& worker, WorkerTask& task, ExitReason reason);
--- a/tests/simulation/workers.cc
+++ b/tests/simulation/workers.cc
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr double kLoopIntervalS = 0.1;
-// After so long the worker turns to the next controller (s).
+// Time-out for a heartbeat response, after which the worker tries the next
+// controller (s).
 constexpr double kResponseTimeoutS = 4;
-// Pause before the next controller is tried (s).
+// Pause before the worker tries the next controller (s).
 constexpr double kRetryPauseS = 1;
-// The shortest time between two heartbeats, when something changes (s).
+// Minimum time between two heartbeats when a change is reported early (s).
 constexpr double kMinHeartbeatPauseS = 0.5;
 
 }  // namespace
@@ -37,7 +38,7 @@
 }
 
 void Worker::AdoptFencingToken(uint64_t token) {
-  // A new leader is shown its token soon.
+  // The next heartbeat is sent early, so that a new leader sees its token.
   if (token > fencing_token) changed = true;
   fencing_token = token;
 }
--- a/tests/simulation/workers.h
+++ b/tests/simulation/workers.h
@@ -1,5 +1,5 @@
-// The machines of the cloud with the worker on each: when they are up, what
-// they can reach, and the loop that decides when a heartbeat is due.
+// The machines of the cloud and their workers: machine states, connectivity,
+// and the loop that sends heartbeats.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 class SimulatedCluster;
 
-// An attempt at a task on a worker.
+// An attempt to run a task on a worker.
 struct WorkerTask {
   TaskId id;
   uint64_t attempt = 0;
@@ -22,7 +22,7 @@
   ExitReason reason = ExitReason::kNone;
   bool saved = false;
   double running_since_s = 0;
-  // Events that were scheduled for an earlier state carry an earlier number.
+  // Incremented at state changes; an event with an earlier number is stale.
   uint64_t state_number = 0;
 
   bool IsExecuting() const {
@@ -36,28 +36,28 @@
   bool spot = false;
   bool up = false;
   bool crashed = false;
-  bool released = false;  // by a controller, or taken back by the cloud
+  bool released = false;  // by a controller, or preempted by the cloud
   double provisioned_at_s = 0;
-  double listed_from_s = 0;  // in the cloud's inventory
+  double listed_from_s = 0;  // appears in the cloud's inventory from then on
   double released_at_s = 0;
   double preempted_at_s = 0;  // 0: no notice
 
-  // Injected faults; FaultKind describes them.
+  // Injected faults, described at FaultKind.
   bool fails_all_tasks = false;
   double partitioned_until_s = 0;
   double hung_until_s = 0;
   double inbound_lost_until_s = 0;
   double outbound_lost_until_s = 0;
 
-  // The protocol's state.
+  // State of the worker protocol.
   uint64_t incarnation = 1;
   uint64_t sequence = 0;  // of heartbeats of this incarnation
   uint64_t fencing_token = 0;
   double lease_from_s = 0;
   std::map<TaskId, WorkerTask> tasks;
 
-  // The heartbeat loop.
-  int controller = 0;  // to which it sends its next heartbeat
+  // State of the heartbeat loop.
+  int controller = 0;  // that gets the next heartbeat
   bool awaits_response = false;
   uint64_t request = 0;  // of the last heartbeat
   double next_heartbeat_s = 0;
@@ -65,7 +65,7 @@
   bool changed = false;  // since the last heartbeat
 
   std::string Address() const { return name + ":1"; }
-  // A report of everything on the machine, with the next sequence number.
+  // Returns a heartbeat with all tasks and the next sequence number.
   Heartbeat MakeHeartbeat(double now_s);
   void AdoptFencingToken(uint64_t token);
   void BeginIncarnation(double now_s);
@@ -80,9 +80,9 @@
 
   void Add(Worker worker);
   void Boot(const std::string& name);
-  // The machine ends and stays listed as failed.
+  // Stops the machine, which stays listed as failed.
   void Crash(Worker& worker);
-  // The worker process ends and starts anew.
+  // Restarts the worker process with a new incarnation.
   void Restart(Worker& worker);
 
   Worker& Get(const std::string& name) { return *workers_.at(name); }
@@ -92,16 +92,17 @@
 
   // Whether packets pass between the controller and the worker.
   bool IsConnected(int controller, const Worker& worker) const;
-  // Whether the worker takes in what reaches its machine.
+  // Whether the worker processes messages that reach its machine.
   bool ReceivesMessages(const Worker& worker) const;
   bool HoldsLease(const Worker& worker) const;
 
   size_t remaining() const;  // not released
-  // From provisioning to release, so far (s).
+  // The sum over all machines of the time from provisioning to release, or
+  // until now (s).
   double TotalMachineTime() const;
 
  private:
-  // The worker's loop, every tenth of a second.
+  // Runs the worker's loop every kLoopIntervalS.
   void Loop(const std::string& name);
 
   SimulatedCluster& cluster_;
--- a/tests/simulation/workload.cc
+++ b/tests/simulation/workload.cc
@@ -12,7 +12,7 @@
 
 const char* TeamForIndex(int index) { return index % 2 ? "blue" : "green"; }
 
-// Jobs of one kind share the first digit, so that all identifiers differ.
+// Each kind of job has its own first digit, so that all identifiers differ.
 std::string JobId(int first_digit, int index) {
   return "job-" + std::to_string(first_digit) + std::to_string(10000 + index);
 }
@@ -25,7 +25,7 @@
 
 JobSpec Workload::DrawArray(int index) {
   JobSpec spec;
-  // The order of identifiers is not that of submissions.
+  // Identifiers are not in the order of submission.
   spec.id = "job-" + std::to_string(100000 + index * 7919 % 90000);
   spec.job_class = index % 3 ? "short" : "long";
   spec.team = random_.Chance(0.5) ? "blue" : "green";
--- a/tests/simulation/workload.h
+++ b/tests/simulation/workload.h
@@ -1,4 +1,4 @@
-// Draws the jobs of a run and gives them to the clients.
+// Draws the jobs of a run and adds them to the clients.
 #pragma once
 
 #include "core/model/job.h"
@@ -6,7 +6,7 @@
 
 namespace sorrelwood::test {
 
-// The methods draw, so that their order makes the run.
+// The methods draw random numbers, so the order of calls determines the run.
 class Workload {
  public:
   explicit Workload(SimulatedCluster& cluster)
@@ -15,21 +15,21 @@
         clients_(cluster.clients()),
         events_(cluster.events()) {}
 
-  // The usual jobs of two teams.
+  // Adds the array jobs of two teams.
   void AddArrays();
-  // One large array and many jobs of a single task, of a team without
-  // guarantee or limit.
+  // Adds one large array and many single-task jobs of a team without guarantee
+  // or limit.
   void AddBestEffortTeam();
   void AddSingleTaskJobs();
   void AddServices();
-  // One array whose progress outgrows the smaller limit of a value.
+  // Adds an array whose progress record exceeds the dropped limit of a value.
   void AddLongArray();
   void AddBurst();
 
  private:
   JobSpec DrawArray(int index);
   void DrawPlacement(JobSpec& spec);
-  // Arrays as large fleets have them; long enough together to need all of it.
+  // Draws arrays that together need the whole large fleet.
   void DrawLargeArray(JobSpec& spec);
   void AddArray(int index);
 
