--- a/tests/simulation/clients.cc
+++ b/tests/simulation/clients.cc
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr double kCancelIntervalS = 2;
-constexpr double kEndedJobPollIntervalS =
-    15;  // of a job whose final state was reported
+// Poll interval for a job whose final state was reported.
+constexpr double kEndedJobPollIntervalS = 15;
 constexpr double kPollOverloadFactor = 10;
 constexpr double kUnusualRequestIntervalS = 0.5;
 constexpr int kPollsPerController = 3;
--- a/tests/simulation/clients.h
+++ b/tests/simulation/clients.h
@@ -25,7 +25,7 @@
   bool crash_loops = false;       // a service whose replicas exit at once
   bool replicas_exit = false;     // a service whose replicas exit after a while
 
-  // The true progress, as workers know it.
+  // The actual progress on the workers.
   IntervalSet completed;               // tasks with a result
   std::map<uint32_t, double> saved_s;  // saved progress by task
   double first_start_s = 0, last_start_s = 0;
--- a/tests/simulation/cloud.cc
+++ b/tests/simulation/cloud.cc
@@ -10,9 +10,9 @@
 namespace sorrelwood::test {
 namespace {
 
-constexpr double kBootS = 8;  // from provisioning until a machine is up; varies
+constexpr double kBootS = 8;  // usual time until a machine is up
 constexpr double kSlowBootFactor = 6;
-constexpr double kInstantBootS = 0.02;  // less than the latency of a request
+constexpr double kInstantBootS = 0.02;  // less than any request's round trip
 constexpr double kSecondsPerHour = 3600;
 
 }  // namespace
--- a/tests/simulation/invariants/answered_jobs.cc
+++ b/tests/simulation/invariants/answered_jobs.cc
@@ -22,8 +22,8 @@
     cluster.ReportViolation(
         "no request about the accepted job " + id + " has been answered for " +
         std::to_string(static_cast<int>(kMaxSilenceS)) + " s");
-    job->last_answer_s =
-        cluster.now();  // not reported again within kMaxSilenceS
+    // The next report follows after another kMaxSilenceS at the earliest.
+    job->last_answer_s = cluster.now();
   }
 }
 
--- a/tests/simulation/options.h
+++ b/tests/simulation/options.h
@@ -11,8 +11,8 @@
 namespace sorrelwood::test {
 
 // "The leader" is the controller that leads when the fault begins; without a
-// leader the fault has no effect. "The follower" is the controller with the
-// next index, or with index 1 if there is no leader.
+// leader, faults of the leader have no effect. "The follower" is the controller
+// with the next index, or with index 1 if there is no leader.
 enum class FaultKind {
   // Processes crash and restart about `restart_s` later.
   kLeaderCrash,
@@ -50,12 +50,13 @@
   // Machines that are provisioned during the fault take six times as long to
   // boot; one in five never boots.
   kSlowBoots,
-  // Machines are up before the response to the provisioning request arrives.
+  // Machines are up within 20 ms, around the time at which the response to the
+  // provisioning request arrives.
   kInstantBoots,
   // Each spot machine is preempted with probability 1/2, after 8 s notice.
   kSpotPreemptionWave,
 
-  // The kinds below affect `count` machines, unless noted otherwise.
+  // The machine faults below affect `count` machines, unless noted otherwise.
   kMachineCrash,
   // Tasks keep running; heartbeats are delayed until the partition ends.
   kMachinePartition,
--- a/tests/simulation/scenarios/combined_scenarios.cc
+++ b/tests/simulation/scenarios/combined_scenarios.cc
@@ -1,6 +1,5 @@
 // Scenarios in which two or more faults overlap; docs/design.md ("When troubles
-// meet") says what each
-// combination may cause.
+// meet") says what each combination may cause.
 #include "simulation/scenarios/scenario.h"
 
 namespace sorrelwood::test {
@@ -109,8 +108,8 @@
             ExpectedProgress::kSomeJobs, TenLeaders());
   table.Add(
       "leaders_change_fast",
-      "A leader does not cope with heartbeats that carry the fencing token of "
-      "another leader.",
+      "A leader draws wrong conclusions from heartbeats that carry the fencing "
+      "token of another leader.",
       ExpectedProgress::kSomeJobs, RapidLeaderChanges());
   table.Add("hand_over_and_back",
             "A controller that leads again relies on its state from an earlier "
--- a/tests/simulation/scenarios/scenario.h
+++ b/tests/simulation/scenarios/scenario.h
@@ -18,7 +18,7 @@
 
 struct Scenario {
   const char* name = "";
-  const char* guards_against = "";  // the failure that breaks the test
+  const char* guards_against = "";  // the failure that the run would show
   ExpectedProgress progress = ExpectedProgress::kAllJobs;
   uint64_t seeds = 1;  // the seeded tests run seeds 1 to `seeds`
   SimulationOptions options;
--- a/tests/simulation/scenarios/service_scenarios.cc
+++ b/tests/simulation/scenarios/service_scenarios.cc
@@ -9,8 +9,7 @@
 void UseRollingUpgrade(Scenario& scenario, double limits_drop_at_s) {
   SimulationOptions& options = scenario.options;
   options.rolling_upgrade_at_s = 15;
-  options.services_from_s =
-      50;  // services are submitted only after the upgrade
+  options.services_from_s = 50;  // after the upgrade
   options.state_limits_drop_at_s = limits_drop_at_s;
   options.enforce_write_rate = true;
   options.long_array = true;
