--- a/tests/simulation/action_digest.h
+++ b/tests/simulation/action_digest.h
@@ -1,5 +1,5 @@
-// A digest of everything that cores ask for, so that a change that should not
-// change behaviour can be shown to change none.
+// A digest of all actions of the controllers except log events. An equal digest
+// before and after a refactoring shows that the behaviour is unchanged.
 #pragma once
 
 #include <cstdint>
@@ -12,34 +12,34 @@
 
 class ActionDigest {
  public:
-  // Takes in one action, as the node `node` returned it.
+  // Adds an action that controller `node` returned.
   void Add(int node, const Action& action);
   uint64_t value() const { return hash_.value(); }
 
  private:
-  void Text(const std::string& text);
-  void Number(double number);
+  void AddText(const std::string& text);
+  void AddNumber(double number);
   template <typename Integer>
-  void Count(Integer number) {
+  void AddInteger(Integer number) {
     hash_.Add(&number, sizeof(number));
   }
 
-  void Take(const StateTransaction& action);
-  void Take(const StateGet& action);
-  void Take(const StateList& action);
-  void Take(const StateWatch& action);
-  void Take(const LeaseCreate& action);
-  void Take(const LeaseRenew& action);
-  void Take(const LeaseEnd& action);
-  void Take(const FetchCatalog& action);
-  void Take(const ProvisionMachines& action);
-  void Take(const ReleaseMachines& action);
-  void Take(const ListCloudMachines& action);
-  void Take(const PushedCommands& action);
-  void Take(const ClientResponse& action);
-  void Take(const HeartbeatResponse& action);
-  void Take(const SendPeerStatus& action);
-  void Take(const LogEvent&) {}  // LogSummary counts them
+  void AddFields(const StateTransaction& action);
+  void AddFields(const StateGet& action);
+  void AddFields(const StateList& action);
+  void AddFields(const StateWatch& action);
+  void AddFields(const LeaseCreate& action);
+  void AddFields(const LeaseRenew& action);
+  void AddFields(const LeaseEnd& action);
+  void AddFields(const FetchCatalog& action);
+  void AddFields(const ProvisionMachines& action);
+  void AddFields(const ReleaseMachines& action);
+  void AddFields(const ListCloudMachines& action);
+  void AddFields(const PushedCommands& action);
+  void AddFields(const ClientResponse& action);
+  void AddFields(const HeartbeatResponse& action);
+  void AddFields(const SendPeerStatus& action);
+  void AddFields(const LogEvent&) {}  // LogSummary covers these
 
   FnvHash hash_;
 };
--- a/tests/simulation/cloud.cc
+++ b/tests/simulation/cloud.cc
@@ -12,7 +12,7 @@
 
 constexpr double kBootS = 8;  // usual time until a machine is up
 constexpr double kSlowBootFactor = 6;
-constexpr double kInstantBootS = 0.02;  // less than any request takes
+constexpr double kInstantBootS = 0.02;  // less than any request's round trip
 constexpr double kSecondsPerHour = 3600;
 
 }  // namespace
--- a/tests/simulation/fault_injector.h
+++ b/tests/simulation/fault_injector.h
@@ -1,4 +1,4 @@
-// Makes injected faults begin.
+// Starts the injected faults of a run.
 #pragma once
 
 #include <vector>
@@ -17,33 +17,33 @@
 
   void Inject(const Fault& fault);
 
-  // Whom a fault can hit.
+  // The controllers and machines that a fault can affect.
   struct Targets {
-    int leader = -1;  // index of the controller that leads; -1: none
-    int follower = 0;
-    std::vector<Worker*> running;  // all machines that are up
-    Worker* one = nullptr;         // of these; null: there is none
-    std::vector<Worker*> chosen;   // `count` of these
+    int leader = -1;                   // index of the leader; -1: none
+    int follower = 0;                  // index
+    std::vector<Worker*> running;      // all running machines
+    Worker* random_machine = nullptr;  // one of `running`; null: none runs
+    std::vector<Worker*> affected;     // up to `Fault::count` of `running`
   };
 
  private:
   using Handler = void (FaultInjector::*)(const Fault& fault,
                                           const Targets& targets);
-  struct HandlerOfKind {
+  struct FaultHandler {
     FaultKind kind;
     Handler handler;
   };
-  // Faults that do more than to last for some time.
-  static const HandlerOfKind kHandlers[];
+  // The kinds that need their own code to start.
+  static const FaultHandler kHandlers[];
 
   Targets DrawTargets(const Fault& fault);
-  // Faults that last for some time, by what they concern. Whether the kind is
-  // such a fault.
-  bool BeginInCluster(const Fault& fault);
-  bool BeginInMessages(const Fault& fault);
-  bool BeginInControllers(const Fault& fault, const Targets& targets);
-  bool BeginInMachines(const Fault& fault, const Targets& targets);
-  bool Handle(const Fault& fault, const Targets& targets);
+  // Each function starts the fault and returns true if it is responsible for
+  // the fault's kind. The first four only set the time at which the fault ends.
+  bool BeginClusterFault(const Fault& fault);
+  bool BeginMessageFault(const Fault& fault);
+  bool BeginControllerFault(const Fault& fault, const Targets& targets);
+  bool BeginMachineFault(const Fault& fault, const Targets& targets);
+  bool RunHandler(const Fault& fault, const Targets& targets);
 
   void CrashLeader(const Fault& fault, const Targets& targets);
   void CrashFollower(const Fault& fault, const Targets& targets);
--- a/tests/simulation/heartbeats.cc
+++ b/tests/simulation/heartbeats.cc
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr int kStatusOk = 200;
-// Just under the time after which a worker gives up (s).
+// Just below a worker's time-out for a response (s).
 constexpr double kLateResponseS = 3.8;
-// Pause before a worker tries another controller, told which or not (s).
+// Pause before a worker tries another controller: one that the response names,
+// or else the next (s).
 constexpr double kRedirectPauseS = 0.3, kRetryPauseS = 1;
 
 }  // namespace
@@ -40,25 +41,25 @@
   const Event deliver = [this, controller, request, heartbeat] {
     Deliver(controller, request, heartbeat);
   };
-  if (!cluster_.workers().Connected(controller, worker)) {
-    // Held by the partition and delivered when it ends, minutes late.
+  if (!cluster_.workers().IsConnected(controller, worker)) {
+    // Delivered when the partition ends, up to minutes late.
     const ControllerProcess& process =
         cluster_.controllers().process(controller);
     const double until_s = std::max(
         {worker.partitioned_until_s, process.partitioned_from_workers_until_s,
          process.partitioned_until_s, faults.zone_partition_until_s});
-    events.At(until_s + cluster_.NetworkLatency(), deliver);
+    events.At(until_s + cluster_.DrawNetworkLatency(), deliver);
     return;
   }
   if (cluster_.now() < worker.outbound_lost_until_s) return;
-  if (cluster_.Hits(faults.heartbeats_replayed_to_next_leader))
+  if (cluster_.DrawHit(faults.heartbeats_replayed_to_next_leader))
     kept_for_next_leader_.emplace_back(request, heartbeat);
-  if (cluster_.Hits(faults.late_heartbeat_copies))
+  if (cluster_.DrawHit(faults.late_heartbeat_copies))
     events.After(
         2 + 1.5 * cluster_.settings().worker_lease_s * random.Uniform(),
         deliver);
   if (random.Chance(options.loss_probability)) return;
-  events.After(cluster_.NetworkLatency(), deliver);
+  events.After(cluster_.DrawNetworkLatency(), deliver);
   if (random.Chance(options.duplicate_probability))
     events.After(5 * random.Uniform(), deliver);
   if (options.heartbeat_copy_probability > 0 &&
@@ -72,7 +73,7 @@
   if (!controllers.process(controller).up) return;
   ++cluster_.statistics().leader_cost.heartbeats;
   controllers.Deliver(
-      controllers.Current(controller),
+      controllers.CurrentProcess(controller),
       [request, heartbeat](Controller& receiver, Controller::Time time) {
         return receiver.OnHeartbeat(time, request, heartbeat);
       });
@@ -86,7 +87,7 @@
           0.5 * cluster_.random().Uniform(),
           [this, i, request = request, heartbeat = heartbeat] {
             SimulatedControllers& controllers = cluster_.controllers();
-            controllers.Deliver(controllers.Current(i),
+            controllers.Deliver(controllers.CurrentProcess(i),
                                 [request, heartbeat](Controller& receiver,
                                                      Controller::Time time) {
                                   return receiver.OnHeartbeat(time, request,
@@ -96,11 +97,11 @@
 }
 
 void Heartbeats::SendResponse(const HeartbeatResponse& response) {
-  // Now and then a response comes just before the worker gives up.
+  // A late response may arrive just before the worker's time-out.
   RandomSource& random = cluster_.random();
   const double delay_s = random.Chance(cluster_.options().late_probability)
                              ? kLateResponseS * random.Uniform()
-                             : cluster_.NetworkLatency();
+                             : cluster_.DrawNetworkLatency();
   cluster_.events().After(delay_s,
                           [this, response] { ReceiveResponse(response); });
 }
@@ -113,10 +114,10 @@
   Worker* worker = cluster_.workers().Find(heartbeat.worker);
   if (!worker || !worker->up) return;
   if (!worker->awaits_response || worker->request != response.request) return;
-  if (!cluster_.workers().Connected(heartbeat.controller, *worker) ||
-      !cluster_.workers().Receives(*worker) ||
+  if (!cluster_.workers().IsConnected(heartbeat.controller, *worker) ||
+      !cluster_.workers().ReceivesMessages(*worker) ||
       cluster_.random().Chance(cluster_.options().loss_probability))
-    return;  // lost: the worker gives up later
+    return;  // lost: the worker's time-out follows
   worker->awaits_response = false;
   if (response.status != kStatusOk) {
     FollowRedirect(*worker, heartbeat, response);
@@ -124,7 +125,7 @@
   }
   if (response.fencing_token < worker->fencing_token ||
       heartbeat.incarnation != worker->incarnation)
-    return;  // of an earlier leader, or for an earlier incarnation
+    return;  // from an earlier leader, or for an earlier incarnation
   worker->AdoptFencingToken(response.fencing_token);
   worker->lease_from_s = std::max(worker->lease_from_s, heartbeat.sent_at_s);
   cluster_.tasks().Execute(*worker, response.commands);
@@ -138,7 +139,7 @@
     worker.next_heartbeat_s = cluster_.now() + kRetryPauseS;
     return;
   }
-  // Names of controllers end in their index.
+  // The name of a controller ends in its index.
   worker.controller = response.redirect.back() - '0';
   worker.next_heartbeat_s = cluster_.now() + kRedirectPauseS;
 }
--- a/tests/simulation/task_execution.cc
+++ b/tests/simulation/task_execution.cc
@@ -8,14 +8,14 @@
 namespace sorrelwood::test {
 namespace {
 
-// Run time of a task whose result is kept already, and the least of any (s).
-constexpr double kLeastRunTimeS = 0.1;
-// Until a task that fails, or a replica that exits at once, has ended (s).
-constexpr double kExitAtOnceS = 0.5;
-// From the end of a hang to the exit of a task that ended during it (s).
+// Minimum run time, and run time of a task whose result exists already (s).
+constexpr double kMinRunTimeS = 0.1;
+// Run time of a task that fails, or of a replica that exits at once (s).
+constexpr double kImmediateExitS = 0.5;
+// Delay from the end of a hang to the exit of tasks that ended during it (s).
 constexpr double kExitAfterHangS = 0.2;
-// Slack for sums of CPUs and memory.
-constexpr double kRounding = 1e-9;
+// Tolerance for rounding errors in sums of CPUs and memory.
+constexpr double kRoundingTolerance = 1e-9;
 
 }  // namespace
 
@@ -52,23 +52,24 @@
     memory_gb += spec.memory_gb;
   }
   const MachineType& type = cluster_.machine_type(worker.type);
-  if (cpus > type.cpus + kRounding || memory_gb > type.memory_gb + kRounding)
+  if (cpus > type.cpus + kRoundingTolerance ||
+      memory_gb > type.memory_gb + kRoundingTolerance)
     return ExitReason::kInsufficientResources;
   return ExitReason::kNone;
 }
 
 void TaskExecution::Start(Worker& worker, const Command& command) {
   const ClientJob* job = cluster_.clients().Find(command.job);
-  if (job && job->told_cancelled_s > 0) {
+  if (job && job->reported_cancelled_s > 0) {
     ++cluster_.statistics().late_starts;
     CheckNoStartLongAfterCancellation(cluster_, *job);
   }
   const TaskId id{command.job, command.task};
-  workers_told_to_start_[command.job].insert(worker.name);
+  workers_commanded_to_start_[command.job].insert(worker.name);
   worker.changed = true;
   const auto other = worker.tasks.find(id);
   if (other != worker.tasks.end() && other->second.HoldsResources())
-    return;  // refused: another attempt is under way
+    return;  // refused: another attempt is in progress
   WorkerTask task;
   task.id = id;
   task.attempt = command.attempt;
@@ -89,7 +90,8 @@
   const bool saves = task.state == TaskState::kRunning &&
                      spec.checkpoint_interval_s > 0 && grace_s >= spec.save_s;
   if (!saves) {
-    // A task that is saving is left to it, unless it is stopped at once.
+    // A task that is saving its progress may finish, unless there is no grace
+    // period.
     if (task.state != TaskState::kSaving || grace_s == 0)
       Exit(worker, task, ExitReason::kStopped);
     return;
@@ -129,7 +131,7 @@
     });
     return;
   }
-  // The lease is looked at before anything starts.
+  // A worker without a lease starts nothing.
   if (!cluster_.workers().HoldsLease(worker)) return;
   WorkerTask& task = it->second;
   CheckTaskMayStart(cluster_, worker, task);
@@ -154,11 +156,11 @@
   double run_s = job.run_s;
   if (cluster_.options().staggered_task_ends) run_s *= 1 + 3 * task.id.task;
   if (job.completed.Contains(task.id.task))
-    run_s = kLeastRunTimeS;
+    run_s = kMinRunTimeS;
   else if (fails)
-    run_s = kExitAtOnceS;
+    run_s = kImmediateExitS;
   else if (saved != job.saved_s.end())
-    run_s = std::max(kLeastRunTimeS, run_s - saved->second);
+    run_s = std::max(kMinRunTimeS, run_s - saved->second);
   ExitAfter(run_s, worker, task, fails);
 }
 
@@ -169,7 +171,7 @@
   double delay_s = 0;
   if (job.crash_loops) ++cluster_.statistics().crash_loop_starts;
   if (job.crash_loops || worker.fails_all_tasks)
-    delay_s = kExitAtOnceS;
+    delay_s = kImmediateExitS;
   else if (job.replicas_exit)
     delay_s = 5 + 30 * random.Uniform();
   else
@@ -212,7 +214,7 @@
   if (!job || job->spec.IsService()) return;
   if (!job->completed.Contains(id.task)) job->completed.Add(id.task);
   if (job->completed.size() != job->spec.tasks ||
-      !cluster_.Hits(cluster_.faults().cancel_at_completion))
+      !cluster_.DrawHit(cluster_.faults().cancel_at_completion))
     return;
   cluster_.events().After(0.6 * cluster_.random().Uniform(),
                           [this, id] { cluster_.clients().Cancel(id.job); });
--- a/tests/simulation/workers.cc
+++ b/tests/simulation/workers.cc
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr double kLoopIntervalS = 0.1;
-// After so long the worker turns to the next controller (s).
+// Time-out for a heartbeat response, after which the worker tries the next
+// controller (s).
 constexpr double kResponseTimeoutS = 4;
-// Pause before the next controller is tried (s).
+// Pause before the worker tries the next controller (s).
 constexpr double kRetryPauseS = 1;
-// The shortest time between two heartbeats, when something changes (s).
+// Minimum time between two heartbeats when a change is reported early (s).
 constexpr double kMinHeartbeatPauseS = 0.5;
 
 }  // namespace
@@ -37,7 +38,7 @@
 }
 
 void Worker::AdoptFencingToken(uint64_t token) {
-  // A new leader is shown its token soon.
+  // The next heartbeat is sent early, so that a new leader sees its token.
   if (token > fencing_token) changed = true;
   fencing_token = token;
 }
@@ -81,7 +82,7 @@
   return it == workers_.end() ? nullptr : it->second.get();
 }
 
-bool SimulatedWorkers::Connected(int controller, const Worker& worker) const {
+bool SimulatedWorkers::IsConnected(int controller, const Worker& worker) const {
   const ControllerProcess& process = cluster_.controllers().process(controller);
   const double now = cluster_.now();
   if (now < worker.partitioned_until_s ||
@@ -92,7 +93,7 @@
          process.zone == worker.zone;
 }
 
-bool SimulatedWorkers::Receives(const Worker& worker) const {
+bool SimulatedWorkers::ReceivesMessages(const Worker& worker) const {
   return cluster_.now() >= worker.hung_until_s &&
          cluster_.now() >= worker.inbound_lost_until_s;
 }
--- a/tests/simulation/workload.cc
+++ b/tests/simulation/workload.cc
@@ -10,9 +10,9 @@
 constexpr int kBestEffortProbes = 60;
 constexpr double kSingleTaskJobsFromS = 20, kSingleTaskJobsForS = 120;
 
-const char* TeamOf(int index) { return index % 2 ? "blue" : "green"; }
+const char* TeamForIndex(int index) { return index % 2 ? "blue" : "green"; }
 
-// Jobs of one kind share the first digit, so that all identifiers differ.
+// Each kind of job has its own first digit, so that all identifiers differ.
 std::string JobId(int first_digit, int index) {
   return "job-" + std::to_string(first_digit) + std::to_string(10000 + index);
 }
@@ -25,7 +25,7 @@
 
 JobSpec Workload::DrawArray(int index) {
   JobSpec spec;
-  // The order of identifiers is not that of submissions.
+  // Identifiers are not in the order of submission.
   spec.id = "job-" + std::to_string(100000 + index * 7919 % 90000);
   spec.job_class = index % 3 ? "short" : "long";
   spec.team = random_.Chance(0.5) ? "blue" : "green";
@@ -110,7 +110,7 @@
     JobSpec spec;
     spec.id = JobId(3, i);
     spec.job_class = "single";
-    spec.team = TeamOf(i);
+    spec.team = TeamForIndex(i);
     spec.tasks = 1;
     spec.cpus = 1;
     spec.memory_gb = 1;
@@ -131,7 +131,7 @@
     JobSpec spec;
     spec.id = JobId(4, i);
     spec.job_class = "service";
-    spec.team = TeamOf(i);
+    spec.team = TeamForIndex(i);
     spec.shape = JobShape::kService;
     spec.priority = Priority::kProduction;
     spec.tasks = 3 + static_cast<uint32_t>(random_.Below(3));
