--- a/tests/loopback/controllers.cc
+++ b/tests/loopback/controllers.cc
@@ -20,9 +20,10 @@
 
 using nlohmann::json;
 
-// A port of loopback that nobody has. Another process could take it before it
-// is used; tests on one machine run long enough apart for that not to matter.
-int FreePort() {
+// Returns a free port of the loopback interface. Another process could take
+// it before it is used, but tests on one machine start far enough apart for
+// this not to matter.
+int FindFreePort() {
   const int socket = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -35,9 +36,11 @@
   return bound ? ntohs(address.sin_port) : 0;
 }
 
-std::string Loopback(int port) { return "127.0.0.1:" + std::to_string(port); }
+std::string LoopbackAddress(int port) {
+  return "127.0.0.1:" + std::to_string(port);
+}
 
-json Cluster() {
+json MakeClusterSettings() {
   return {
       {"teams",
        {{{"name", "hot"}, {"cpus", 40}, {"cpus_max", 2000}},
@@ -64,14 +67,14 @@
   std::vector<json> settings;
   for (int i = 0; i < count; ++i) {
     const std::string name = "controller-" + std::to_string(i);
-    settings.push_back(
-        {{"node_name", name},
-         {"site", i % 2 ? "b" : "a"},
-         {"serve_on", Loopback(FreePort())},
-         {"mesh_addr", Loopback(FreePort())},
-         {"outside",
-          {{"cloud", Loopback(cloud_port)}, {"state", Loopback(state_port)}}},
-         {"cluster", Cluster()}});
+    settings.push_back({{"node_name", name},
+                        {"site", i % 2 ? "b" : "a"},
+                        {"serve_on", LoopbackAddress(FindFreePort())},
+                        {"mesh_addr", LoopbackAddress(FindFreePort())},
+                        {"outside",
+                         {{"cloud", LoopbackAddress(cloud_port)},
+                          {"state", LoopbackAddress(state_port)}}},
+                        {"cluster", MakeClusterSettings()}});
     addresses_[name] = settings.back()["serve_on"];
   }
   for (int i = 0; i < count; ++i) {
@@ -125,7 +128,7 @@
   kill(processes_[static_cast<size_t>(index)].pid, SIGCONT);
 }
 
-double Controllers::Metric(int index, const std::string& name) const {
+double Controllers::ReadMetric(int index, const std::string& name) const {
   Endpoint endpoint;
   ParseEndpoint(processes_[static_cast<size_t>(index)].address, &endpoint);
   httplib::Client client(endpoint.host, endpoint.port);
@@ -133,20 +136,21 @@
   client.set_read_timeout(1);
   const auto result = client.Get("/metrics");
   if (!result || result->status != 200) return -1;
-  const std::string label = "sorrelwood_state{of=\"" + name + "\"} ";
-  const size_t at = result->body.find(label);
-  if (at == std::string::npos) return -1;
-  return std::strtod(result->body.c_str() + at + label.size(), nullptr);
+  const std::string prefix = "sorrelwood_state{of=\"" + name + "\"} ";
+  const size_t position = result->body.find(prefix);
+  if (position == std::string::npos) return -1;
+  return std::strtod(result->body.c_str() + position + prefix.size(), nullptr);
 }
 
-int Controllers::Leader() const {
+int Controllers::FindLeader() const {
   int leader = -1;
   double term = -1;
   for (size_t i = 0; i < processes_.size(); ++i) {
     const int index = static_cast<int>(i);
-    if (Metric(index, "leading") < 1 || Metric(index, "term") <= term) continue;
+    if (ReadMetric(index, "leading") < 1 || ReadMetric(index, "term") <= term)
+      continue;
     leader = index;
-    term = Metric(index, "term");
+    term = ReadMetric(index, "term");
   }
   return leader;
 }
--- a/tests/loopback/controllers.h
+++ b/tests/loopback/controllers.h
@@ -11,7 +11,7 @@
 
 class Controllers {
  public:
-  // Starts `count` of them; all are killed when this is destroyed.
+  // Starts `count` controllers; the destructor kills them.
   Controllers(int count, int state_port, int cloud_port,
               const std::string& operator_settings);
   ~Controllers();
@@ -19,19 +19,20 @@
   Controllers& operator=(const Controllers&) = delete;
 
   void Start(int index);
-  // SIGKILL, SIGSTOP and SIGCONT.
+  // Send SIGKILL, SIGSTOP and SIGCONT.
   void Kill(int index);
   void Pause(int index);
   void Resume(int index);
 
-  // Names and addresses for workers and users.
+  // Addresses that workers and users connect to, by controller name.
   const std::map<std::string, std::string>& addresses() const {
     return addresses_;
   }
-  // The value of a metric of the controller; -1 when it does not answer.
-  double Metric(int index, const std::string& name) const;
-  // Index of the leader with the latest term; -1: none that answers leads.
-  int Leader() const;
+  // Returns the value of the controller's metric, or -1 without an answer.
+  double ReadMetric(int index, const std::string& name) const;
+  // Returns the index of the leader with the highest term, or -1 if no
+  // controller that answers is leader.
+  int FindLeader() const;
   size_t size() const { return processes_.size(); }
 
  private:
--- a/tests/loopback/execution_history.cc
+++ b/tests/loopback/execution_history.cc
@@ -17,32 +17,33 @@
   events_.push_back({Now(), machine, task, starts});
 }
 
-std::vector<std::string> ExecutionHistory::ConcurrentExecutions() const {
+std::vector<std::string> ExecutionHistory::FindConcurrentExecutions() const {
   std::lock_guard lock(mutex_);
-  std::map<std::string, std::string> on;  // task -> machine
-  std::vector<std::string> twice;
+  std::map<std::string, std::string> machine_of_task;
+  std::vector<std::string> concurrent;
   for (const ExecutionEvent& event : events_) {
-    const auto there = on.find(event.task);
+    const auto current = machine_of_task.find(event.task);
     if (!event.starts) {
-      if (there != on.end() && there->second == event.machine) on.erase(there);
-    } else if (there == on.end()) {
-      on[event.task] = event.machine;
+      if (current != machine_of_task.end() && current->second == event.machine)
+        machine_of_task.erase(current);
+    } else if (current == machine_of_task.end()) {
+      machine_of_task[event.task] = event.machine;
     } else {
-      twice.push_back(event.task + " on " + there->second + " and " +
-                      event.machine);
+      concurrent.push_back(event.task + " on " + current->second + " and " +
+                           event.machine);
     }
   }
-  return twice;
+  return concurrent;
 }
 
-size_t ExecutionHistory::StartCount() const {
+size_t ExecutionHistory::CountStarts() const {
   std::lock_guard lock(mutex_);
   return static_cast<size_t>(
       std::count_if(events_.begin(), events_.end(),
                     [](const ExecutionEvent& event) { return event.starts; }));
 }
 
-std::map<std::string, int> ExecutionHistory::RunningTasksByMachine() const {
+std::map<std::string, int> ExecutionHistory::CountTasksByMachine() const {
   std::lock_guard lock(mutex_);
   std::map<std::string, int> tasks;
   for (const ExecutionEvent& event : events_)
--- a/tests/loopback/execution_history.h
+++ b/tests/loopback/execution_history.h
@@ -1,4 +1,4 @@
-// When tasks were on which fake worker, and the checks on it after a run.
+// Records when each task ran on which fake worker, for checks after a run.
 #pragma once
 
 #include <map>
@@ -8,25 +8,25 @@
 
 namespace sorrelwood::test {
 
-// Seconds of the steady clock, which all fakes of a process share.
+// Returns seconds of the steady clock, which all fakes of a process share.
 double Now();
 
 struct ExecutionEvent {
   double at_s = 0;
   std::string machine, task;
-  bool starts = false;  // else it has left the machine
+  bool starts = false;  // false: the task left the machine
 };
 
-// Thread-safe. Events stand in the order in which they happened.
+// Thread-safe. Keeps events in order of occurrence.
 class ExecutionHistory {
  public:
   void Add(const std::string& machine, const std::string& task, bool starts);
 
-  // Tasks that were on two machines at once, each with both machines.
-  std::vector<std::string> ConcurrentExecutions() const;
-  size_t StartCount() const;
-  // Tasks on each machine now.
-  std::map<std::string, int> RunningTasksByMachine() const;
+  // Describes each task that was on two machines at once, with both machines.
+  std::vector<std::string> FindConcurrentExecutions() const;
+  size_t CountStarts() const;
+  // Number of tasks now on each machine.
+  std::map<std::string, int> CountTasksByMachine() const;
 
  private:
   mutable std::mutex mutex_;
--- a/tests/loopback/fake_cloud.h
+++ b/tests/loopback/fake_cloud.h
@@ -1,6 +1,7 @@
 // A fake cloud that provisions fake workers, over HTTP in the published
-// protocol. The fakes spell the protocol's words out themselves, so that a
-// wrong word in the program fails the test.
+// protocol. The fakes write the protocol's names as literals instead of using
+// the program's constants (except for the heartbeat path), so that a wrong name
+// in the program fails the test.
 #pragma once
 
 #include <httplib.h>
@@ -18,7 +19,7 @@
 
 class FakeCloud {
  public:
-  // At most `capacity` machines at once, of four CPUs each.
+  // Provisions at most `capacity` machines at once, of four CPUs each.
   FakeCloud(int capacity, TaskProgress* progress, ExecutionHistory* history);
   ~FakeCloud();
   int port() const { return port_; }
@@ -26,10 +27,10 @@
   void SetWorkerSettings(const WorkerSettings& settings) {
     worker_settings_ = settings;
   }
-  size_t machines() const;
+  size_t machine_count() const;
 
  private:
-  void Route();
+  void RegisterRoutes();
   void Provision(const httplib::Request& request, httplib::Response& response);
   void Release(const httplib::Request& request, httplib::Response& response);
   void List(const httplib::Request& request, httplib::Response& response);
@@ -42,7 +43,8 @@
   int port_ = 0;
   std::thread server_thread_;
   mutable std::mutex mutex_;
-  std::map<std::string, std::vector<std::string>> provisioned_;  // by request
+  std::map<std::string, std::vector<std::string>>
+      provisioned_;  // by request id
   std::map<std::string, std::unique_ptr<FakeWorker>> workers_;
   std::map<std::string, std::string> zones_;
   int next_machine_ = 1;
--- a/tests/loopback/fake_state_service.cc
+++ b/tests/loopback/fake_state_service.cc
@@ -10,11 +10,12 @@
 
 using nlohmann::json;
 
-// One for each connection that controllers keep open.
-constexpr size_t kThreads = 96;
-constexpr size_t kMaxRequests = 1000000;
+// At least one for each connection that controllers keep open.
+constexpr size_t kServerThreads = 96;
+constexpr size_t kMaxRequestsPerConnection = 1000000;
+constexpr int kKeepAliveTimeoutS = 60;
 
-void Answer(httplib::Response& response, int status, const json& body) {
+void SendJson(httplib::Response& response, int status, const json& body) {
   response.status = status;
   response.set_content(body.dump(), "application/json");
 }
@@ -23,7 +24,7 @@
   return text.compare(0, prefix.size(), prefix) == 0;
 }
 
-uint64_t Number(const httplib::Request& request, const char* name) {
+uint64_t GetNumber(const httplib::Request& request, const char* name) {
   return request.has_param(name) ? std::stoull(request.get_param_value(name))
                                  : 0;
 }
@@ -31,11 +32,13 @@
 }  // namespace
 
 FakeStateService::FakeStateService() {
-  server_.new_task_queue = [] { return new httplib::ThreadPool(kThreads); };
-  server_.set_keep_alive_max_count(kMaxRequests);
-  server_.set_keep_alive_timeout(60);
+  server_.new_task_queue = [] {
+    return new httplib::ThreadPool(kServerThreads);
+  };
+  server_.set_keep_alive_max_count(kMaxRequestsPerConnection);
+  server_.set_keep_alive_timeout(kKeepAliveTimeoutS);
   server_.set_tcp_nodelay(true);
-  Route();
+  RegisterRoutes();
   port_ = server_.bind_to_any_port("127.0.0.1");
   server_thread_ = std::thread([this] { server_.listen_after_bind(); });
 }
@@ -45,7 +48,7 @@
   server_thread_.join();
 }
 
-void FakeStateService::Route() {
+void FakeStateService::RegisterRoutes() {
   using Request = httplib::Request;
   using Response = httplib::Response;
   server_.Get("/keys", [this](const Request& q, Response& r) { List(q, r); });
@@ -59,29 +62,29 @@
     std::lock_guard lock(mutex_);
     const double ttl_s = json::parse(q.body).at("ttl_ms").get<double>() / 1000;
     leases_[next_lease_] = {ttl_s, Now() + ttl_s};
-    Answer(r, 200, {{"hold", next_lease_++}});
+    SendJson(r, 200, {{"hold", next_lease_++}});
   });
   server_.Post(R"(/leases/(\d+)/renew)", [this](const Request& q, Response& r) {
     std::lock_guard lock(mutex_);
     ExpireLeases();
     const auto lease = leases_.find(std::stoull(q.matches[1]));
-    if (lease == leases_.end()) return Answer(r, 404, json::object());
-    lease->second.until_s = Now() + lease->second.ttl_s;
-    Answer(r, 200, json::object());
+    if (lease == leases_.end()) return SendJson(r, 404, json::object());
+    lease->second.expires_s = Now() + lease->second.ttl_s;
+    SendJson(r, 200, json::object());
   });
 }
 
 void FakeStateService::ExpireLeases() {
   for (auto it = leases_.begin(); it != leases_.end();) {
-    if (Now() < it->second.until_s) {
+    if (Now() < it->second.expires_s) {
       ++it;
       continue;
     }
-    const uint64_t ended = it->first;
+    const uint64_t expired = it->first;
     it = leases_.erase(it);
     std::vector<std::string> keys;
     for (const auto& [key, entry] : entries_)
-      if (entry.lease == ended) keys.push_back(key);
+      if (entry.lease == expired) keys.push_back(key);
     if (keys.empty()) continue;
     ++revision_;
     for (const std::string& key : keys) Apply({{"remove", key}});
@@ -96,11 +99,11 @@
   const std::string key = request.matches[1];
   const auto entry = entries_.find(key);
   if (entry == entries_.end())
-    return Answer(response, 404, {{"epoch", revision_}});
-  Answer(response, 200,
-         {{"k", key},
-          {"data", entry->second.data},
-          {"stamp", entry->second.version}});
+    return SendJson(response, 404, {{"epoch", revision_}});
+  SendJson(response, 200,
+           {{"k", key},
+            {"data", entry->second.data},
+            {"stamp", entry->second.version}});
 }
 
 void FakeStateService::List(const httplib::Request& request,
@@ -109,13 +112,13 @@
   ExpireLeases();
   const std::string prefix = request.get_param_value("under");
   const std::string after = request.get_param_value("after");
-  const size_t most = std::max<uint64_t>(1, Number(request, "most"));
+  const size_t max_items = std::max<uint64_t>(1, GetNumber(request, "most"));
   json pairs = json::array();
   bool more = false;
   auto it = after.empty() ? entries_.lower_bound(prefix)
                           : entries_.upper_bound(after);
   for (; it != entries_.end() && StartsWith(it->first, prefix); ++it) {
-    if (pairs.size() >= most) {
+    if (pairs.size() >= max_items) {
       more = true;
       break;
     }
@@ -123,8 +126,8 @@
                      {"data", it->second.data},
                      {"stamp", it->second.version}});
   }
-  Answer(response, 200,
-         {{"pairs", pairs}, {"has_next", more}, {"epoch", revision_}});
+  SendJson(response, 200,
+           {{"pairs", pairs}, {"has_next", more}, {"epoch", revision_}});
 }
 
 void FakeStateService::Apply(const json& operation) {
@@ -148,7 +151,7 @@
   for (const json& operation : operations) {
     const uint64_t lease = operation.value("hold", uint64_t{0});
     if (lease != 0 && !leases_.count(lease))
-      return Answer(response, 400, {{"error", "no such lease"}});
+      return SendJson(response, 400, {{"error", "no such lease"}});
   }
   json failed = json::array();
   for (const json& guard : body.value("guards", json::array())) {
@@ -159,41 +162,41 @@
       failed.push_back(guard.at("k"));
   }
   if (!failed.empty())
-    return Answer(response, 409, {{"failed", failed}, {"epoch", revision_}});
+    return SendJson(response, 409, {{"failed", failed}, {"epoch", revision_}});
   if (!operations.empty()) ++revision_;
   for (const json& operation : operations) Apply(operation);
   changed_.notify_all();
-  Answer(response, 200, {{"epoch", revision_}});
+  SendJson(response, 200, {{"epoch", revision_}});
 }
 
 json FakeStateService::ChangesAfter(const std::string& prefix,
                                     uint64_t after) const {
-  json news = json::array();
+  json changes = json::array();
   for (const Change& change : changes_) {
     if (change.revision <= after || !StartsWith(change.key, prefix)) continue;
     json item = {{"stamp", change.revision}};
     item[change.data.is_null() ? "remove" : "set"] = change.key;
     if (!change.data.is_null()) item["data"] = change.data;
-    news.push_back(std::move(item));
+    changes.push_back(std::move(item));
   }
-  return news;
+  return changes;
 }
 
 void FakeStateService::Watch(const httplib::Request& request,
                              httplib::Response& response) {
   const std::string prefix = request.get_param_value("under");
-  const uint64_t after = Number(request, "after");
-  const double until_s =
-      Now() + static_cast<double>(Number(request, "wait_ms")) / 1000;
-  constexpr auto kStep = std::chrono::milliseconds(50);
+  const uint64_t after = GetNumber(request, "after");
+  const double deadline_s =
+      Now() + static_cast<double>(GetNumber(request, "wait_ms")) / 1000;
+  constexpr auto kPollInterval = std::chrono::milliseconds(50);
   std::unique_lock lock(mutex_);
-  json news = ChangesAfter(prefix, after);
-  while (news.empty() && Now() < until_s) {
-    changed_.wait_for(lock, kStep);
+  json changes = ChangesAfter(prefix, after);
+  while (changes.empty() && Now() < deadline_s) {
+    changed_.wait_for(lock, kPollInterval);
     ExpireLeases();
-    news = ChangesAfter(prefix, after);
+    changes = ChangesAfter(prefix, after);
   }
-  Answer(response, 200, {{"epoch", revision_}, {"news", news}});
+  SendJson(response, 200, {{"epoch", revision_}, {"news", changes}});
 }
 
 }  // namespace sorrelwood::test
--- a/tests/loopback/fake_state_service.h
+++ b/tests/loopback/fake_state_service.h
@@ -1,4 +1,4 @@
-// A fake state service in memory, over HTTP in the published protocol: keys
+// A fake in-memory state service, over HTTP in the published protocol: keys
 // with versions, transactions, leases and watches.
 #pragma once
 
@@ -27,21 +27,21 @@
     uint64_t version = 0, lease = 0;
   };
   struct Lease {
-    double ttl_s = 0, until_s = 0;
+    double ttl_s = 0, expires_s = 0;
   };
   struct Change {
     uint64_t revision = 0;
     std::string key;
-    nlohmann::json data;  // null: removed
+    nlohmann::json data;  // null if the key was removed
   };
 
-  void Route();
+  void RegisterRoutes();
   void Get(const httplib::Request& request, httplib::Response& response);
   void List(const httplib::Request& request, httplib::Response& response);
   void Transact(const httplib::Request& request, httplib::Response& response);
   void Watch(const httplib::Request& request, httplib::Response& response);
   void Apply(const nlohmann::json& operation);
-  // Ends leases that were not renewed, and removes their keys.
+  // Removes leases that were not renewed in time, and their keys.
   void ExpireLeases();
   nlohmann::json ChangesAfter(const std::string& prefix, uint64_t after) const;
 
--- a/tests/loopback/fake_worker.cc
+++ b/tests/loopback/fake_worker.cc
@@ -12,9 +12,11 @@
 
 constexpr double kImageFetchS = 0.2;
 constexpr double kLoopIntervalS = 0.05;
-constexpr double kMinHeartbeatPauseS = 0.2;
-constexpr int kAnswerTimeoutS = 4;
-constexpr size_t kThreads = 2;
+constexpr double kMinHeartbeatIntervalS = 0.2;
+constexpr int kResponseTimeoutS = 4;
+constexpr auto kSwitchDelay = std::chrono::milliseconds(300);
+constexpr double kMinRunS = 0.1;
+constexpr size_t kServerThreads = 2;
 
 }  // namespace
 
@@ -29,7 +31,7 @@
   return profile == jobs_.end() ? JobProfile() : profile->second;
 }
 
-double TaskProgress::Saved(const std::string& task) const {
+double TaskProgress::SavedRunTime(const std::string& task) const {
   std::lock_guard lock(mutex_);
   const auto saved = saved_s_.find(task);
   return saved == saved_s_.end() ? 0 : saved->second;
@@ -50,9 +52,11 @@
       settings_(settings),
       progress_(progress),
       history_(history),
-      lease_from_s_(Now()),
+      lease_renewed_s_(Now()),
       controller_(settings_.controllers.begin()->first) {
-  server_.new_task_queue = [] { return new httplib::ThreadPool(kThreads); };
+  server_.new_task_queue = [] {
+    return new httplib::ThreadPool(kServerThreads);
+  };
   server_.Get(
       "/inspect", [this](const httplib::Request&, httplib::Response& response) {
         std::lock_guard lock(mutex_);
@@ -75,67 +79,68 @@
   });
   port_ = server_.bind_to_any_port("127.0.0.1");
   server_thread_ = std::thread([this] { server_.listen_after_bind(); });
-  heartbeat_loop_ = std::thread([this] { Loop(); });
+  heartbeat_loop_ = std::thread([this] { RunHeartbeatLoop(); });
 }
 
 FakeWorker::~FakeWorker() {
-  ending_ = true;
+  stopping_ = true;
   server_.stop();
   server_thread_.join();
   heartbeat_loop_.join();
   std::lock_guard lock(mutex_);
-  LoseAllTasks();
+  DropAllTasks();
 }
 
 std::string FakeWorker::address() const {
   return "127.0.0.1:" + std::to_string(port_);
 }
 
-void FakeWorker::Loop() {
+void FakeWorker::RunHeartbeatLoop() {
   double last_heartbeat_s = 0;
-  while (!ending_) {
+  while (!stopping_) {
     std::this_thread::sleep_for(std::chrono::duration<double>(kLoopIntervalS));
     bool due = false;
     {
       std::lock_guard lock(mutex_);
-      if (Now() - lease_from_s_ > settings_.lease_s) {
-        LoseAllTasks();
+      if (Now() - lease_renewed_s_ > settings_.lease_s) {
+        DropAllTasks();
         ++incarnation_;
         sequence_ = 0;
-        lease_from_s_ = Now();
+        lease_renewed_s_ = Now();
       }
-      Advance();
+      AdvanceTasks();
       due = Now() >= next_heartbeat_s_ ||
-            (changed_ && Now() - last_heartbeat_s > kMinHeartbeatPauseS);
+            (changed_ && Now() - last_heartbeat_s > kMinHeartbeatIntervalS);
     }
-    if (!due || ending_) continue;
+    if (!due || stopping_) continue;
     last_heartbeat_s = Now();
     SendHeartbeat();
   }
 }
 
-void FakeWorker::Advance() {
+void FakeWorker::AdvanceTasks() {
   for (auto& [id, task] : tasks_) {
-    if (task.status == "ended" || Now() < task.until_s) continue;
+    if (task.status == "ended" || Now() < task.state_ends_s) continue;
     if (task.status == "fetching") {
       task.status = "running";
-      task.running_s = Now();
+      task.run_start_s = Now();
       const JobProfile profile = progress_->Profile(id.substr(0, id.find('/')));
-      task.until_s =
-          Now() + std::max(0.1, profile.run_s - progress_->Saved(id));
+      task.state_ends_s =
+          Now() +
+          std::max(kMinRunS, profile.run_s - progress_->SavedRunTime(id));
       history_->Add(name_, id, /*starts=*/true);
       changed_ = true;
     } else if (task.status == "running") {
-      End(&task, "done");
+      EndTask(&task, "done");
     } else {
-      progress_->Save(id, Now() - task.running_s);
+      progress_->Save(id, Now() - task.run_start_s);
       task.saved = true;
-      End(&task, "halted");
+      EndTask(&task, "halted");
     }
   }
 }
 
-void FakeWorker::End(Task* task, const std::string& cause) {
+void FakeWorker::EndTask(Task* task, const std::string& cause) {
   if (task->status == "running" || task->status == "flushing")
     history_->Add(name_, task->id, /*starts=*/false);
   task->status = "ended";
@@ -143,9 +148,9 @@
   changed_ = true;
 }
 
-void FakeWorker::LoseAllTasks() {
+void FakeWorker::DropAllTasks() {
   for (auto& [id, task] : tasks_)
-    if (task.status != "ended") End(&task, "lost");
+    if (task.status != "ended") EndTask(&task, "lost");
   tasks_.clear();
 }
 
@@ -164,15 +169,16 @@
           {"warning_s", nullptr}, {"parts", parts}};
 }
 
-void FakeWorker::SwitchController(const std::string& named) {
+void FakeWorker::SwitchController(const std::string& named_leader) {
   const auto& all = settings_.controllers;
-  if (!named.empty() && named != controller_ && all.count(named)) {
-    controller_ = named;
+  if (!named_leader.empty() && named_leader != controller_ &&
+      all.count(named_leader)) {
+    controller_ = named_leader;
     return;
   }
   auto next = std::next(all.find(controller_));
   controller_ = next == all.end() ? all.begin()->first : next->first;
-  std::this_thread::sleep_for(std::chrono::milliseconds(300));
+  std::this_thread::sleep_for(kSwitchDelay);
 }
 
 void FakeWorker::SendHeartbeat() {
@@ -189,24 +195,25 @@
   Endpoint endpoint;
   ParseEndpoint(settings_.controllers.at(controller_), &endpoint);
   httplib::Client client(endpoint.host, endpoint.port);
-  client.set_read_timeout(kAnswerTimeoutS);
+  client.set_read_timeout(kResponseTimeoutS);
   client.set_connection_timeout(1);
   const auto result =
       client.Post(protocol::path::kHeartbeat, body, "application/json");
-  if (!result || Now() - sent_s > kAnswerTimeoutS || result->status != 200) {
-    const json answer =
+  if (!result || Now() - sent_s > kResponseTimeoutS || result->status != 200) {
+    const json response =
         result ? json::parse(result->body, nullptr, false) : json::object();
-    SwitchController(answer.is_object() ? answer.value("steward", "") : "");
+    SwitchController(response.is_object() ? response.value("steward", "") : "");
     return;
   }
-  const json answer = json::parse(result->body);
+  const json response = json::parse(result->body);
   std::lock_guard lock(mutex_);
-  const uint64_t token = answer.value("baton", uint64_t{0});
-  if (token < fencing_token_ || incarnation != incarnation_) return;  // dropped
+  const uint64_t token = response.value("baton", uint64_t{0});
+  if (token < fencing_token_ || incarnation != incarnation_)
+    return;  // the response is outdated
   changed_ = changed_ || token > fencing_token_;
   fencing_token_ = token;
-  lease_from_s_ = std::max(lease_from_s_, sent_s);
-  ExecuteCommands(answer.value("orders", json::array()));
+  lease_renewed_s_ = std::max(lease_renewed_s_, sent_s);
+  ExecuteCommands(response.value("orders", json::array()));
 }
 
 void FakeWorker::ExecuteCommands(const json& orders) {
@@ -215,37 +222,38 @@
     const std::string id = order.at("part");
     const uint64_t attempt = order.at("try");
     const auto task = tasks_.find(id);
-    const bool same = task != tasks_.end() && task->second.attempt == attempt;
-    if (verb == "launch" && !same)
-      Start(id, attempt);
-    else if (verb == "halt" && same)
-      Stop(&task->second, order.value("leeway_s", 0.0));
-    else if (verb == "clear" && same && task->second.status == "ended")
+    const bool same_attempt =
+        task != tasks_.end() && task->second.attempt == attempt;
+    if (verb == "launch" && !same_attempt)
+      StartTask(id, attempt);
+    else if (verb == "halt" && same_attempt)
+      StopTask(&task->second, order.value("leeway_s", 0.0));
+    else if (verb == "clear" && same_attempt && task->second.status == "ended")
       tasks_.erase(task);
   }
 }
 
-void FakeWorker::Start(const std::string& id, uint64_t attempt) {
+void FakeWorker::StartTask(const std::string& id, uint64_t attempt) {
   const auto other = tasks_.find(id);
   if (other != tasks_.end() && other->second.status != "ended") return;
   Task task;
   task.id = id;
   task.attempt = attempt;
-  task.until_s = Now() + kImageFetchS;
+  task.state_ends_s = Now() + kImageFetchS;
   tasks_[id] = task;
   changed_ = true;
 }
 
-void FakeWorker::Stop(Task* task, double grace_s) {
+void FakeWorker::StopTask(Task* task, double grace_s) {
   if (task->status == "ended") return;
   const JobProfile profile =
       progress_->Profile(task->id.substr(0, task->id.find('/')));
   if (task->status == "running" && profile.saves && grace_s >= profile.save_s) {
     task->status = "flushing";
-    task->until_s = Now() + profile.save_s;
+    task->state_ends_s = Now() + profile.save_s;
     changed_ = true;
   } else if (task->status != "flushing" || grace_s == 0) {
-    End(task, "halted");
+    EndTask(task, "halted");
   }
 }
 
--- a/tests/loopback/fake_worker.h
+++ b/tests/loopback/fake_worker.h
@@ -1,6 +1,6 @@
 // A fake worker: an HTTP server for pushed commands, and a thread that sends
 // heartbeats to one controller at a time, in the published protocol. Its tasks
-// only wait.
+// only wait until their run time has passed.
 #pragma once
 
 #include <httplib.h>
@@ -18,7 +18,7 @@
 
 namespace sorrelwood::test {
 
-// What a worker needs to know of the cluster and its jobs.
+// Settings that a worker has of the cluster.
 struct WorkerSettings {
   std::map<std::string, std::string> controllers;  // name -> address
   double heartbeat_interval_s = 0.5, lease_s = 6;
@@ -26,17 +26,17 @@
 // How each task of a job behaves.
 struct JobProfile {
   double run_s = 1;
-  double save_s = 0;   // time that saving a checkpoint takes
-  bool saves = false;  // on a stop that leaves time for it
+  double save_s = 0;   // time to save a checkpoint
+  bool saves = false;  // saves on a stop whose grace period allows it
 };
 
-// What outlives machines: how jobs behave, and the saved progress of tasks.
+// State that outlives machines: job profiles and the saved progress of tasks.
 // Thread-safe.
 class TaskProgress {
  public:
   void AddJob(const std::string& job, const JobProfile& profile);
   JobProfile Profile(const std::string& job) const;
-  double Saved(const std::string& task) const;
+  double SavedRunTime(const std::string& task) const;
   void Save(const std::string& task, double ran_s);
 
  private:
@@ -50,7 +50,7 @@
   FakeWorker(std::string name, std::string type, std::string zone, bool spot,
              const WorkerSettings& settings, TaskProgress* progress,
              ExecutionHistory* history);
-  // The machine ends, with everything on it.
+  // Ends the machine and all tasks on it.
   ~FakeWorker();
   std::string address() const;
 
@@ -60,22 +60,23 @@
     uint64_t attempt = 0;
     std::string status = "fetching", cause;
     bool saved = false;
-    double until_s = 0;    // of the present state
-    double running_s = 0;  // when it began to run
+    double state_ends_s = 0;  // when the current state ends
+    double run_start_s = 0;
   };
 
-  void Loop();
-  // Takes tasks to their next state once its time has come.
-  void Advance();
+  void RunHeartbeatLoop();
+  // Moves tasks whose current state has ended to their next state.
+  void AdvanceTasks();
   void SendHeartbeat();
   void ExecuteCommands(const nlohmann::json& orders);
-  void Start(const std::string& id, uint64_t attempt);
-  void Stop(Task* task, double grace_s);
-  void End(Task* task, const std::string& cause);
-  void LoseAllTasks();
+  void StartTask(const std::string& id, uint64_t attempt);
+  void StopTask(Task* task, double grace_s);
+  void EndTask(Task* task, const std::string& cause);
+  void DropAllTasks();
   nlohmann::json MakeHeartbeat();
-  // To the leader that a response names, or to the next in order.
-  void SwitchController(const std::string& named);
+  // Switches to the leader named in a response or, without a known one, to the
+  // next controller by name.
+  void SwitchController(const std::string& named_leader);
 
   const std::string name_, type_, zone_;
   const bool spot_;
@@ -84,12 +85,12 @@
   ExecutionHistory* history_;
   httplib::Server server_;
   int port_ = 0;
-  std::atomic<bool> ending_{false};
+  std::atomic<bool> stopping_{false};
   std::mutex mutex_;
   std::map<std::string, Task> tasks_;
   uint64_t incarnation_ = 1, sequence_ = 0, fencing_token_ = 0;
-  double lease_from_s_ = 0, next_heartbeat_s_ = 0;
-  bool changed_ = true;
+  double lease_renewed_s_ = 0, next_heartbeat_s_ = 0;
+  bool changed_ = true;  // a change has not been reported yet
   std::string controller_;
   std::thread server_thread_, heartbeat_loop_;
 };
--- a/tests/loopback/loopback_test.cc
+++ b/tests/loopback/loopback_test.cc
@@ -1,6 +1,6 @@
-// Real controllers beside a fake state service, a fake cloud and fake workers
-// on loopback. SORRELWOOD_LOOPBACK_MACHINES=300 asks for a large fleet (CI:
-// 24).
+// Runs real controller processes with a fake state service, a fake cloud and
+// fake workers on loopback. SORRELWOOD_LOOPBACK_MACHINES sets the fleet's size:
+// 24 by default and in CI, 300 for a large fleet.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -21,22 +21,22 @@
 
 using nlohmann::json;
 
-// At which the rebalancer rests, by default.
+// Imbalance at which the rebalancer stops moving tasks by default.
 constexpr double kBalancedImbalance = 0.08;
 
-int Machines() {
-  const char* asked = std::getenv("SORRELWOOD_LOOPBACK_MACHINES");
-  return asked ? std::atoi(asked) : 24;
+int MachineCount() {
+  const char* count = std::getenv("SORRELWOOD_LOOPBACK_MACHINES");
+  return count ? std::atoi(count) : 24;
 }
 
-// In a large fleet tasks run long enough to be moved.
-double RunFactor() { return Machines() >= 100 ? 4 : 1; }
+// In a large fleet tasks run for longer, so that there is time to move them.
+double RunTimeFactor() { return MachineCount() >= 100 ? 4 : 1; }
 
 void Sleep(double seconds) {
   std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
 }
 
-// Submit jobs and poll them through any controller.
+// Submits jobs and polls them, through each controller in turn.
 class Clients {
  public:
   Clients(const Controllers* controllers, TaskProgress* progress)
@@ -53,21 +53,21 @@
         {"room", nullptr},   {"one_zone", false},   {"scatter", false},
         {"loaners", true},   {"expected_s", run_s}, {"bookmark_s", 5.0},
         {"stash_s", 0.3},    {"due_s", nullptr}};
-    for (int tries = 0; tries < 60; ++tries) {
-      const auto status = Ask("/submissions", &job).first;
+    for (int attempt = 0; attempt < 60; ++attempt) {
+      const auto status = SendRequest("/submissions", &job).first;
       if (status == 200 || status == 201) return true;
       Sleep(0.5);
     }
     return false;
   }
-  // The status that some controller tells; empty: none answers.
+  // Returns the job's status from the next controller, empty without an answer.
   std::string Status(const std::string& id) {
-    const auto [status, body] = Ask("/submissions/" + id, nullptr);
+    const auto [status, body] = SendRequest("/submissions/" + id, nullptr);
     return status == 200 ? body.value("status", "") : "";
   }
 
  private:
-  std::pair<int, json> Ask(const std::string& path, const json* body) {
+  std::pair<int, json> SendRequest(const std::string& path, const json* body) {
     auto it = controllers_->addresses().begin();
     std::advance(it, next_++ % controllers_->addresses().size());
     Endpoint endpoint;
@@ -92,7 +92,7 @@
 class LoopbackTest : public ::testing::Test {
  protected:
   LoopbackTest()
-      : cloud_(Machines(), &progress_, &history_),
+      : cloud_(MachineCount(), &progress_, &history_),
         controllers_(3, state_.port(), cloud_.port(), kOperatorSettings),
         clients_(&controllers_, &progress_) {
     WorkerSettings workers;
@@ -100,41 +100,47 @@
     cloud_.SetWorkerSettings(workers);
   }
 
-  int WaitForLeader(double most_s) {
-    for (const double until = Now() + most_s; Now() < until; Sleep(0.2)) {
-      const int leader = controllers_.Leader();
+  int WaitForLeader(double timeout_s) {
+    for (const double deadline_s = Now() + timeout_s; Now() < deadline_s;
+         Sleep(0.2)) {
+      const int leader = controllers_.FindLeader();
       if (leader >= 0) return leader;
     }
     return -1;
   }
-  // Whether all jobs are told done within the time.
-  bool AllDoneWithin(const std::set<std::string>& jobs, double most_s) {
-    std::set<std::string> left = jobs;
-    for (const double until = Now() + most_s; Now() < until; Sleep(0.3)) {
-      for (auto it = left.begin(); it != left.end();)
-        it = clients_.Status(*it) == "done" ? left.erase(it) : std::next(it);
-      if (left.empty()) return true;
+  // Returns whether all jobs are reported as done within the timeout.
+  bool WaitUntilAllDone(const std::set<std::string>& jobs, double timeout_s) {
+    std::set<std::string> unfinished = jobs;
+    for (const double deadline_s = Now() + timeout_s; Now() < deadline_s;
+         Sleep(0.3)) {
+      for (auto it = unfinished.begin(); it != unfinished.end();)
+        it = clients_.Status(*it) == "done" ? unfinished.erase(it)
+                                            : std::next(it);
+      if (unfinished.empty()) return true;
     }
-    for (const std::string& id : left)
+    for (const std::string& id : unfinished)
       std::printf("not done: %s is %s\n", id.c_str(),
                   clients_.Status(id).c_str());
     return false;
   }
-  // Whether, within that time, leaders measure ten times in a row, a second
-  // apart, that the fleet is balanced.
-  bool BecomesBalancedWithin(double most_s) {
-    constexpr int kTimes = 10;
-    int in_a_row = 0;
+  // Returns whether, within the timeout, the leader's metric shows a balanced
+  // fleet ten times in a row, one second apart.
+  bool WaitUntilBalanced(double timeout_s) {
+    constexpr int kConsecutiveSamples = 10;
+    int consecutive = 0;
     double worst = 0;
-    for (const double until = Now() + most_s; Now() < until; Sleep(1)) {
-      const int leader = controllers_.Leader();
+    for (const double deadline_s = Now() + timeout_s; Now() < deadline_s;
+         Sleep(1)) {
+      const int leader = controllers_.FindLeader();
       if (leader < 0) continue;
-      const double imbalance = controllers_.Metric(leader, "spread_imbalance");
+      const double imbalance =
+          controllers_.ReadMetric(leader, "spread_imbalance");
       worst = std::max(worst, imbalance);
-      in_a_row =
-          imbalance >= 0 && imbalance <= kBalancedImbalance ? in_a_row + 1 : 0;
-      if (in_a_row >= kTimes) {
-        std::printf("worst imbalance on the way: %.3f\n", worst);
+      consecutive = imbalance >= 0 && imbalance <= kBalancedImbalance
+                        ? consecutive + 1
+                        : 0;
+      if (consecutive >= kConsecutiveSamples) {
+        std::printf("worst imbalance before balance: %.3f\n", worst);
         return true;
       }
     }
@@ -153,43 +159,45 @@
   Clients clients_;
 };
 
-// Guards against a task on two machines, a job that is lost, and a fleet that
-// stays unbalanced, when the leader is killed during a burst of one team and
-// the next is paused for longer than its lease.
+// Guards against a task that runs on two machines, a lost job and a fleet that
+// stays unbalanced: the leader is killed during one team's burst, and the next
+// leader is paused for longer than its lease.
 TEST_F(LoopbackTest, BurstIsBalancedAndDoneThroughTwoFailovers) {
   const int leader = WaitForLeader(20);
   ASSERT_GE(leader, 0);
   std::set<std::string> jobs;
   const auto submit = [&](const std::string& team, int tasks, double run_s) {
     const std::string id = "job-" + std::to_string(100000 + jobs.size());
-    ASSERT_TRUE(clients_.Submit(id, team, tasks, run_s * RunFactor()));
+    ASSERT_TRUE(clients_.Submit(id, team, tasks, run_s * RunTimeFactor()));
     jobs.insert(id);
   };
-  const int each = std::max(1, Machines() / 3);  // tasks of a quiet job
-  submit("calm", each, 30);
-  submit("hot", each, 30);
+  const int tasks_per_job =
+      std::max(1, MachineCount() / 3);  // at a team's usual load
+  submit("calm", tasks_per_job, 30);
+  submit("hot", tasks_per_job, 30);
   Sleep(4);
-  for (int i = 0; i < 10; ++i) submit("hot", each, 12 + i);  // tenfold
+  for (int i = 0; i < 10; ++i)
+    submit("hot", tasks_per_job, 12 + i);  // ten times the load
   controllers_.Kill(leader);
   const int second = WaitForLeader(20);
   ASSERT_GE(second, 0);
   ASSERT_NE(second, leader);
   controllers_.Start(leader);
-  submit("calm", each, 10);
+  submit("calm", tasks_per_job, 10);
   controllers_.Pause(second);
-  Sleep(8);  // longer than its lease: another leads meanwhile
+  Sleep(8);  // longer than its lease, so that another takes over
   const int third = WaitForLeader(20);
   controllers_.Resume(second);
   EXPECT_NE(third, second);
-  EXPECT_TRUE(BecomesBalancedWithin(60 * RunFactor()));
-  EXPECT_TRUE(AllDoneWithin(jobs, 120 * RunFactor()));
-  EXPECT_EQ(history_.ConcurrentExecutions(), std::vector<std::string>());
-  EXPECT_GE(history_.StartCount(), static_cast<size_t>(13 * each));
+  EXPECT_TRUE(WaitUntilBalanced(60 * RunTimeFactor()));
+  EXPECT_TRUE(WaitUntilAllDone(jobs, 120 * RunTimeFactor()));
+  EXPECT_EQ(history_.FindConcurrentExecutions(), std::vector<std::string>());
+  EXPECT_GE(history_.CountStarts(), static_cast<size_t>(13 * tasks_per_job));
   const int last = WaitForLeader(20);
   std::printf("moves finished by the last leader: %.0f\n",
-              controllers_.Metric(last, "moves_finished"));
-  std::printf("%zu machines at the end, %zu starts\n", cloud_.machines(),
-              history_.StartCount());
+              controllers_.ReadMetric(last, "moves_finished"));
+  std::printf("%zu machines at the end, %zu starts\n", cloud_.machine_count(),
+              history_.CountStarts());
 }
 
 }  // namespace
