--- a/tests/load_spread_test.cc
+++ b/tests/load_spread_test.cc
@@ -1,5 +1,6 @@
-// Moves of running tasks, by a leader alone: what it orders at each step when
-// machines, jobs or the leader itself fail between the stop and the start.
+// Tests moves of running tasks with a single leader: its commands at each step
+// when machines, jobs or the leader itself fail between the stop on the source
+// and the start on the target.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,20 +14,20 @@
 
 using test::ScriptedLeader;
 
-// A worker that runs what it is told to, saves at once when it is stopped, and
-// remembers what it was ever told to start.
+// A worker that executes its commands. A stopped task saves a checkpoint at
+// once.
 class Worker {
  public:
   explicit Worker(std::string name) : name_(std::move(name)) {}
 
-  // Reports and carries out the answer. One that hangs does neither.
-  void Beat(ScriptedLeader* leader) {
+  // Sends a heartbeat and executes the response, unless the worker hangs.
+  void SendHeartbeat(ScriptedLeader* leader) {
     if (hangs) return;
     const uint64_t token = sequence_ == 0 ? 0 : leader->token();
     Execute(leader->OnHeartbeat(name_, 1, ++sequence_, token, tasks_));
   }
-  // The same report once more, late.
-  void RepeatOldReport(ScriptedLeader* leader,
+  // Delivers a delayed duplicate of an earlier heartbeat.
+  void RepeatHeartbeat(ScriptedLeader* leader,
                        const std::vector<TaskStatus>& tasks,
                        uint64_t sequence) {
     leader->OnHeartbeat(name_, 1, sequence, leader->token(), tasks);
@@ -39,12 +40,12 @@
       }
   }
 
-  // The cloud has taken the machine.
-  void Die() {
+  // The cloud has removed the machine.
+  void Shutdown() {
     tasks_.clear();
     hangs = true;
   }
-  size_t Running(const std::string& job = "") const {
+  size_t CountRunning(const std::string& job = "") const {
     return static_cast<size_t>(
         std::count_if(tasks_.begin(), tasks_.end(), [&](const TaskStatus& t) {
           return t.state == TaskState::kRunning &&
@@ -55,7 +56,7 @@
   const std::vector<TaskStatus>& tasks() const { return tasks_; }
   uint64_t sequence() const { return sequence_; }
   bool hangs = false;
-  int stops = 0;
+  int stop_count = 0;
 
  private:
   void Execute(const HeartbeatResponse& answer) {
@@ -74,7 +75,7 @@
         it->state = TaskState::kExited;
         it->reason = ExitReason::kStopped;
         it->saved = true;
-        ++stops;
+        ++stop_count;
       } else if (command.kind == CommandKind::kForget && it != tasks_.end()) {
         tasks_.erase(it);
       }
@@ -86,7 +87,7 @@
   std::vector<TaskStatus> tasks_;
 };
 
-PolicySettings Spread() {
+PolicySettings MakeSpreadPolicy() {
   PolicySettings policy;
   policy.idle_release_delay_s = 5000;
   policy.baseline_initial_share = 0;
@@ -101,8 +102,8 @@
   return policy;
 }
 
-LiveJob LongJob(const std::string& id, uint32_t tasks,
-                const std::string& team = "team") {
+LiveJob MakeLongJob(const std::string& id, uint32_t tasks,
+                    const std::string& team = "team") {
   LiveJob job;
   job.spec.id = id;
   job.spec.job_class = "class";
@@ -119,7 +120,7 @@
 
 class LoadSpreadTest : public ::testing::Test {
  protected:
-  explicit LoadSpreadTest(const PolicySettings& policy = Spread())
+  explicit LoadSpreadTest(const PolicySettings& policy = MakeSpreadPolicy())
       : leader_(2, policy) {
     leader_.Run(2);
   }
@@ -128,18 +129,18 @@
     workers_.push_back(std::make_unique<Worker>(name));
     return workers_.back().get();
   }
-  // Every worker reports every 2 s.
+  // Every worker sends a heartbeat every 2 s.
   void Run(double seconds) {
     for (double passed = 0; passed < seconds; passed += 2) {
       leader_.Run(2);
       for (auto& worker : workers_) {
-        if (leader_.Released(worker->name())) worker->Die();
-        worker->Beat(&leader_);
-        CheckNothingRunsTwice();
+        if (leader_.Released(worker->name())) worker->Shutdown();
+        worker->SendHeartbeat(&leader_);
+        CheckNoTaskRunsTwice();
       }
     }
   }
-  void CheckNothingRunsTwice() {
+  void CheckNoTaskRunsTwice() {
     std::set<TaskId> running;
     for (const auto& worker : workers_) {
       for (const TaskStatus& task : worker->tasks()) {
@@ -149,38 +150,38 @@
       }
     }
   }
-  // 16 tasks on n-1, 4 on n-2, which came later; all have run long enough.
-  void MakeUneven(LiveJob job = LongJob("job-000001", 20)) {
+  // Starts 16 tasks on n-1 and 4 on n-2, a machine that is added later.
+  void MakeImbalance(LiveJob job = MakeLongJob("job-000001", 20)) {
     first_ = AddWorker("n-1");
     Run(4);
-    leader_.Add(std::move(job));
+    leader_.AddLiveJob(std::move(job));
     Run(8);
     second_ = AddWorker("n-2");
     Run(6);
-    ASSERT_EQ(first_->Running(), 16u);
-    ASSERT_EQ(second_->Running(), 4u);
+    ASSERT_EQ(first_->CountRunning(), 16u);
+    ASSERT_EQ(second_->CountRunning(), 4u);
   }
-  // Until a stop has been ordered and carried out, and no more.
+  // Runs until the worker has executed a stop.
   void RunUntilStopped(Worker* worker) {
-    for (int i = 0; i < 60 && worker->stops == 0; ++i) Run(2);
-    ASSERT_GT(worker->stops, 0);
+    for (int i = 0; i < 60 && worker->stop_count == 0; ++i) Run(2);
+    ASSERT_GT(worker->stop_count, 0);
   }
-  // Until the leader has decided to move something, not yet told to anybody.
-  void RunUntilBegun() {
-    for (int i = 0; i < 400 && Moves().started == 0; ++i) {
+  // Runs until the leader has decided on a move but has sent no command for it.
+  void RunUntilMoveStarts() {
+    for (int i = 0; i < 400 && MoveStatistics().started == 0; ++i) {
       leader_.Run(0.1);
-      if (i % 20 != 19 || Moves().started > 0) continue;
-      for (auto& worker : workers_) worker->Beat(&leader_);
+      if (i % 20 != 19 || MoveStatistics().started > 0) continue;
+      for (auto& worker : workers_) worker->SendHeartbeat(&leader_);
     }
-    ASSERT_GT(Moves().started, 0u);
+    ASSERT_GT(MoveStatistics().started, 0u);
   }
-  Rebalancer::Statistics Moves() {
+  Rebalancer::Statistics MoveStatistics() {
     return leader_.CollectStatistics().scheduler.rebalancing;
   }
-  uint64_t GivenUp(MoveFailure failure) {
-    const auto given_up = Moves().abandoned;
-    const auto it = given_up.find(failure);
-    return it == given_up.end() ? 0 : it->second;
+  uint64_t CountAbandoned(MoveFailure failure) {
+    const auto abandoned = MoveStatistics().abandoned;
+    const auto it = abandoned.find(failure);
+    return it == abandoned.end() ? 0 : it->second;
   }
 
   ScriptedLeader leader_;
@@ -189,274 +190,278 @@
   Worker* second_ = nullptr;
 };
 
-TEST_F(LoadSpreadTest, AMachineThatComesAfterABurstTakesItsPart) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, AMachineAddedAfterABurstTakesItsShare) {
+  MakeImbalance();
   Run(60);
-  // 20 of 32 cores: a machine's bound is 12.5.
-  EXPECT_LE(first_->Running(), 13u);
-  EXPECT_GE(second_->Running(), 7u);
-  EXPECT_EQ(first_->Running() + second_->Running(), 20u);
-  EXPECT_GE(Moves().finished, 3u);
-  EXPECT_EQ(Moves().in_flight, 0u);
-  EXPECT_LT(Moves().imbalance, 0.05);
+  // 20 of 32 cores are in use, so that a machine's bound is 12.5.
+  EXPECT_LE(first_->CountRunning(), 13u);
+  EXPECT_GE(second_->CountRunning(), 7u);
+  EXPECT_EQ(first_->CountRunning() + second_->CountRunning(), 20u);
+  EXPECT_GE(MoveStatistics().finished, 3u);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
+  EXPECT_LT(MoveStatistics().imbalance, 0.05);
 }
 
-TEST_F(LoadSpreadTest, NothingMovesThatHasRunForAShortTime) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, TasksThatStartedRecentlyDoNotMove) {
+  MakeImbalance();
   Run(14);
-  EXPECT_EQ(Moves().started, 0u);
+  EXPECT_EQ(MoveStatistics().started, 0u);
 }
 
-TEST_F(LoadSpreadTest, NothingMovesThatWouldLoseItsWork) {
-  LiveJob job = LongJob("job-000001", 20);
+TEST_F(LoadSpreadTest, TasksThatWouldLoseProgressDoNotMove) {
+  LiveJob job = MakeLongJob("job-000001", 20);
   job.spec.checkpoint_interval_s = 0;
-  MakeUneven(std::move(job));
+  MakeImbalance(std::move(job));
   Run(80);
-  EXPECT_EQ(Moves().started, 0u);
-  EXPECT_EQ(first_->Running(), 16u);
+  EXPECT_EQ(MoveStatistics().started, 0u);
+  EXPECT_EQ(first_->CountRunning(), 16u);
 }
 
-TEST_F(LoadSpreadTest, NobodyElseTakesAHeldPlace) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, OtherTasksDoNotTakeReservedCapacity) {
+  MakeImbalance();
   RunUntilStopped(first_);
-  // The stop is not reported yet: other work finds all but the held places.
-  const size_t held = Moves().in_flight;
-  ASSERT_GT(held, 0u);
+  // The stop is not reported yet: another job gets all but the reserved
+  // capacity.
+  const size_t reserved = MoveStatistics().in_flight;
+  ASSERT_GT(reserved, 0u);
   leader_.AddJob("job-000002", 40);
   leader_.Run(0.5);
-  second_->Beat(&leader_);
-  EXPECT_EQ(second_->Running("job-000002"), 12 - held);
+  second_->SendHeartbeat(&leader_);
+  EXPECT_EQ(second_->CountRunning("job-000002"), 12 - reserved);
   Run(6);
-  EXPECT_EQ(Moves().finished, held);
-  EXPECT_EQ(Moves().in_flight, 0u);
+  EXPECT_EQ(MoveStatistics().finished, reserved);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
 }
 
-TEST_F(LoadSpreadTest, APlaceThatIsLostIsGivenUp) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, AMoveToALostTargetIsAbandoned) {
+  MakeImbalance();
   RunUntilStopped(first_);
-  leader_.preemption_notice_s = 30;  // the cloud takes the second machine back
-  second_->Beat(&leader_);
+  leader_.preemption_notice_s = 30;  // the cloud preempts the second machine
+  second_->SendHeartbeat(&leader_);
   leader_.preemption_notice_s.reset();
   Run(4);
-  EXPECT_GT(GivenUp(MoveFailure::kTargetLost), 0u);
-  EXPECT_EQ(Moves().in_flight, 0u);
-  EXPECT_EQ(first_->Running(), 16u);  // they start again where room is
+  EXPECT_GT(CountAbandoned(MoveFailure::kTargetLost), 0u);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
+  // The tasks restart on the remaining machine.
+  EXPECT_EQ(first_->CountRunning(), 16u);
 }
 
-TEST_F(LoadSpreadTest, ASilentPlaceIsGivenUp) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, AMoveToASilentTargetIsAbandoned) {
+  MakeImbalance();
   RunUntilStopped(first_);
   second_->hangs = true;
-  for (int i = 0; i < 5; ++i) leader_.Run(2);  // nobody reports
+  for (int i = 0; i < 5; ++i) leader_.Run(2);  // no machine sends heartbeats
   Run(4);
-  EXPECT_EQ(Moves().finished, 0u);
-  EXPECT_EQ(Moves().in_flight, 0u);
-  EXPECT_EQ(first_->Running(), 16u);
+  EXPECT_EQ(MoveStatistics().finished, 0u);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
+  EXPECT_EQ(first_->CountRunning(), 16u);
 }
 
-TEST_F(LoadSpreadTest, ASourceThatHangsFreesThePlaceAndKeepsTheTask) {
-  MakeUneven();
-  RunUntilBegun();
-  const size_t before = first_->Running();
-  first_->hangs = true;  // the stop has left, or waits for a report
+TEST_F(LoadSpreadTest, AHangingSourceKeepsItsTaskAndFreesTheTarget) {
+  MakeImbalance();
+  RunUntilMoveStarts();
+  const size_t before = first_->CountRunning();
+  first_->hangs = true;  // the stop is sent, or waits for a heartbeat
   Run(8);
-  EXPECT_GT(GivenUp(MoveFailure::kTooLate), 0u);
-  EXPECT_EQ(Moves().in_flight, 0u);
-  EXPECT_EQ(second_->Running(), 4u);  // nothing started there meanwhile
-  first_->hangs = false;              // within its lease
-  first_->Beat(&leader_);
+  EXPECT_GT(CountAbandoned(MoveFailure::kTooLate), 0u);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
+  EXPECT_EQ(second_->CountRunning(), 4u);  // no task started there in this time
+  first_->hangs = false;                   // within its lease
+  first_->SendHeartbeat(&leader_);
   Run(30);
-  EXPECT_EQ(first_->Running() + second_->Running(), 20u);
-  EXPECT_LE(first_->Running(), before);
+  EXPECT_EQ(first_->CountRunning() + second_->CountRunning(), 20u);
+  EXPECT_LE(first_->CountRunning(), before);
 }
 
-TEST_F(LoadSpreadTest, ACancelledJobStartsNothingAtItsPlace) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, ATaskOfACancelledJobDoesNotStartOnItsTarget) {
+  MakeImbalance();
   RunUntilStopped(first_);
   leader_.Cancel("job-000001");
   leader_.Run(2);
-  EXPECT_GT(GivenUp(MoveFailure::kJobEnded), 0u);
+  EXPECT_GT(CountAbandoned(MoveFailure::kJobEnded), 0u);
   Run(6);
-  EXPECT_EQ(first_->Running() + second_->Running(), 0u);
-  EXPECT_EQ(Moves().in_flight, 0u);
+  EXPECT_EQ(first_->CountRunning() + second_->CountRunning(), 0u);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
 }
 
-TEST_F(LoadSpreadTest, ATaskThatIsDoneBeforeItStopsDoesNotMove) {
-  MakeUneven();
-  RunUntilBegun();
+TEST_F(LoadSpreadTest, ATaskThatCompletesBeforeItsStopDoesNotMove) {
+  MakeImbalance();
+  RunUntilMoveStarts();
   for (uint32_t task = 0; task < 20; ++task) first_->Finish("job-000001", task);
   Run(6);
-  EXPECT_EQ(Moves().finished, 0u);
-  EXPECT_EQ(Moves().in_flight, 0u);
-  EXPECT_EQ(second_->Running(), 4u);
+  EXPECT_EQ(MoveStatistics().finished, 0u);
+  EXPECT_EQ(MoveStatistics().in_flight, 0u);
+  EXPECT_EQ(second_->CountRunning(), 4u);
 }
 
-TEST_F(LoadSpreadTest, ALeaderThatStoodStillMovesNothingTwice) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, APausedLeaderMovesNothingTwice) {
+  MakeImbalance();
   RunUntilStopped(first_);
-  leader_.StandStill(6);  // its lease has ended; a late report comes first
-  first_->Beat(&leader_);
-  second_->Beat(&leader_);
+  leader_.PauseProcess(6);  // the lease ends; a late heartbeat arrives first
+  first_->SendHeartbeat(&leader_);
+  second_->SendHeartbeat(&leader_);
   Run(40);
-  EXPECT_EQ(first_->Running() + second_->Running(), 20u);
+  EXPECT_EQ(first_->CountRunning() + second_->CountRunning(), 20u);
 }
 
-TEST_F(LoadSpreadTest, LateCopiesDoNotBringBackALoad) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, DelayedHeartbeatsDoNotRestoreAnOldLoad) {
+  MakeImbalance();
   const std::vector<TaskStatus> crowded = first_->tasks();
   const uint64_t sequence = first_->sequence();
   Run(60);
-  const Rebalancer::Statistics before = Moves();
+  const Rebalancer::Statistics before = MoveStatistics();
   ASSERT_GT(before.finished, 0u);
   for (int i = 0; i < 10; ++i) {
-    first_->RepeatOldReport(&leader_, crowded, sequence);
+    first_->RepeatHeartbeat(&leader_, crowded, sequence);
     Run(2);
   }
-  EXPECT_EQ(Moves().started, before.started);
-  EXPECT_EQ(first_->Running() + second_->Running(), 20u);
+  EXPECT_EQ(MoveStatistics().started, before.started);
+  EXPECT_EQ(first_->CountRunning() + second_->CountRunning(), 20u);
 }
 
 TEST_F(LoadSpreadTest, ATeamAtItsLimitMovesWithoutOverlap) {
-  // 20 tasks of 5 cores are the 100 that `other` may use.
+  // 20 tasks of 5 cores use up the limit of 100 CPUs of team `other`.
   leader_.types = {{"big", 80, 0, 64, 100, 1, 1, 0.4, 10, {"a"}}};
-  leader_.Run(70);  // the catalogue is read again
-  LiveJob job = LongJob("job-000001", 20, "other");
+  leader_.Run(70);  // until the catalogue is read again
+  LiveJob job = MakeLongJob("job-000001", 20, "other");
   job.spec.cpus = 5;
-  MakeUneven(std::move(job));
+  MakeImbalance(std::move(job));
   for (int i = 0; i < 40; ++i) {
     Run(2);
-    EXPECT_LE(first_->Running() + second_->Running(), 20u);
+    EXPECT_LE(first_->CountRunning() + second_->CountRunning(), 20u);
   }
-  EXPECT_GE(Moves().finished, 2u);
-  EXPECT_EQ(first_->Running() + second_->Running(), 20u);
+  EXPECT_GE(MoveStatistics().finished, 2u);
+  EXPECT_EQ(first_->CountRunning() + second_->CountRunning(), 20u);
 }
 
-TEST_F(LoadSpreadTest, MovesWhereTheImageIsNot) {
-  LiveJob job = LongJob("job-000001", 32);
+TEST_F(LoadSpreadTest, MovesToAMachineWithoutTheImage) {
+  LiveJob job = MakeLongJob("job-000001", 32);
   job.spec.image = "img-1";
   job.spec.image_gb = 1;
   AddWorker("n-1");
   AddWorker("n-2");
   Run(4);
-  leader_.Add(job);
+  leader_.AddLiveJob(job);
   Run(8);
-  Worker* third = AddWorker("n-3");  // all copies are on crowded machines
-  leader_.Add(LongJob("job-000002", 2));
+  Worker* third = AddWorker("n-3");  // only crowded machines have the image
+  leader_.AddLiveJob(MakeLongJob("job-000002", 2));
   Run(80);
-  EXPECT_GT(third->Running("job-000001"), 0u);
+  EXPECT_GT(third->CountRunning("job-000001"), 0u);
 }
 
-TEST_F(LoadSpreadTest, TheTimeBeforeAMoveCountsToSpeculation) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, SpeculationCountsRunTimeBeforeAMove) {
+  MakeImbalance();
   Run(60);
-  ASSERT_GT(Moves().finished, 0u);
-  // Tasks on both machines have run equally long in all.
+  ASSERT_GT(MoveStatistics().finished, 0u);
+  // Tasks on both machines have the same total run time.
   const uint64_t kills =
       leader_.CollectStatistics().scheduler.speculative_kills;
   EXPECT_EQ(kills, 0u);
 }
 
-TEST_F(LoadSpreadTest, KeepsToTheJobsZone) {
-  leader_.places["n-2"] = {"big", "b"};
-  LiveJob job = LongJob("job-000001", 16);
+TEST_F(LoadSpreadTest, MovesOnlyWithinTheJobsZone) {
+  leader_.machine_places["n-2"] = {"big", "b"};
+  LiveJob job = MakeLongJob("job-000001", 16);
   job.spec.zone = "a";
   first_ = AddWorker("n-1");
   Run(4);
-  leader_.Add(job);
+  leader_.AddLiveJob(job);
   Run(8);
   second_ = AddWorker("n-2");
-  leader_.Add(LongJob("job-000002", 4));
+  leader_.AddLiveJob(MakeLongJob("job-000002", 4));
   Run(80);
-  EXPECT_EQ(first_->Running("job-000001"), 16u);
-  EXPECT_EQ(second_->Running("job-000001"), 0u);
-  EXPECT_EQ(Moves().started, 0u);
+  EXPECT_EQ(first_->CountRunning("job-000001"), 16u);
+  EXPECT_EQ(second_->CountRunning("job-000001"), 0u);
+  EXPECT_EQ(MoveStatistics().started, 0u);
 }
 
 TEST_F(LoadSpreadTest, KeepsAJobOfOneZoneTogether) {
-  leader_.places["n-2"] = {"big", "b"};
-  LiveJob job = LongJob("job-000001", 16);
+  leader_.machine_places["n-2"] = {"big", "b"};
+  LiveJob job = MakeLongJob("job-000001", 16);
   job.spec.one_zone = true;
   first_ = AddWorker("n-1");
   Run(4);
-  leader_.Add(job);
+  leader_.AddLiveJob(job);
   Run(8);
   second_ = AddWorker("n-2");
-  leader_.Add(LongJob("job-000002", 4));
+  leader_.AddLiveJob(MakeLongJob("job-000002", 4));
   Run(80);
-  EXPECT_EQ(first_->Running("job-000001"), 16u);
+  EXPECT_EQ(first_->CountRunning("job-000001"), 16u);
 }
 
-TEST_F(LoadSpreadTest, KeepsToTheJobsTypes) {
+TEST_F(LoadSpreadTest, MovesOnlyToTheJobsMachineTypes) {
   leader_.types.push_back({"small", 16, 0, 64, 100, 1, 1, 0.4, 10, {"a"}});
-  leader_.places["n-2"] = {"small", "a"};
-  LiveJob job = LongJob("job-000001", 16);
+  leader_.machine_places["n-2"] = {"small", "a"};
+  LiveJob job = MakeLongJob("job-000001", 16);
   job.spec.types = {"big"};
   first_ = AddWorker("n-1");
   Run(4);
-  leader_.Add(job);
+  leader_.AddLiveJob(job);
   Run(8);
   second_ = AddWorker("n-2");
-  leader_.Add(LongJob("job-000002", 4));
+  leader_.AddLiveJob(MakeLongJob("job-000002", 4));
   Run(80);
-  EXPECT_EQ(first_->Running("job-000001"), 16u);
-  EXPECT_EQ(second_->Running("job-000001"), 0u);
+  EXPECT_EQ(first_->CountRunning("job-000001"), 16u);
+  EXPECT_EQ(second_->CountRunning("job-000001"), 0u);
 }
 
-TEST_F(LoadSpreadTest, TwoTeamsThatAreHotInTurnCauseNoMovesToAndFro) {
-  MakeUneven();
+TEST_F(LoadSpreadTest, AlternatingBurstsCauseNoOscillation) {
+  MakeImbalance();
   Run(60);
-  const uint64_t settled = Moves().started;
+  const uint64_t moves_before = MoveStatistics().started;
   for (int round = 0; round < 6; ++round) {
     const std::string id = "job-0001" + std::to_string(10 + round);
-    leader_.Add(LongJob(id, 6, round % 2 ? "team" : "other"));
+    leader_.AddLiveJob(MakeLongJob(id, 6, round % 2 ? "team" : "other"));
     Run(24);
     leader_.Cancel(id);
     Run(6);
   }
-  EXPECT_LE(Moves().started - settled, 6u);
+  EXPECT_LE(MoveStatistics().started - moves_before, 6u);
 }
 
-// Unevenness that ends sooner than `lasting_s` moves nothing.
-class PatientSpreadTest : public LoadSpreadTest {
+// An imbalance that ends within `lasting_s` causes no moves.
+class LastingImbalanceTest : public LoadSpreadTest {
  protected:
-  PatientSpreadTest() : LoadSpreadTest(Patient()) {}
-  static PolicySettings Patient() {
-    PolicySettings policy = Spread();
+  LastingImbalanceTest() : LoadSpreadTest(MakeLastingPolicy()) {}
+  static PolicySettings MakeLastingPolicy() {
+    PolicySettings policy = MakeSpreadPolicy();
     policy.spread.min_imbalance_duration_s = 60;
     return policy;
   }
 };
 
-TEST_F(PatientSpreadTest, ShortUnevennessMovesNothing) {
-  MakeUneven();
-  Run(44);  // by now all tasks may move
-  ASSERT_GT(Moves().imbalance, 0.05);
-  EXPECT_EQ(Moves().started, 0u);
-  leader_.Add(LongJob("job-000002", 12));  // fills the second machine
+TEST_F(LastingImbalanceTest, AShortImbalanceCausesNoMoves) {
+  MakeImbalance();
+  Run(44);  // all tasks have run long enough to move
+  ASSERT_GT(MoveStatistics().imbalance, 0.05);
+  EXPECT_EQ(MoveStatistics().started, 0u);
+  // Fills the second machine.
+  leader_.AddLiveJob(MakeLongJob("job-000002", 12));
   Run(60);
-  EXPECT_EQ(Moves().started, 0u);
+  EXPECT_EQ(MoveStatistics().started, 0u);
 }
 
-TEST_F(PatientSpreadTest, LastingUnevennessDoes) {
-  MakeUneven();
+TEST_F(LastingImbalanceTest, ALastingImbalanceCausesMoves) {
+  MakeImbalance();
   Run(90);
-  EXPECT_GT(Moves().finished, 0u);
+  EXPECT_GT(MoveStatistics().finished, 0u);
 }
 
-TEST_F(LoadSpreadTest, WorkLeavesAMachineMuchSlowerThanItsKind) {
+TEST_F(LoadSpreadTest, TasksLeaveAMachineSlowerThanOthersOfItsType) {
   std::vector<Worker*> workers;
   for (int i = 1; i <= 4; ++i)
     workers.push_back(AddWorker("n-" + std::to_string(i)));
   Run(6);
-  LiveJob filler = LongJob("job-000003", 36);  // keeps all four machines
+  // Keeps all four machines in use.
+  LiveJob filler = MakeLongJob("job-000003", 36);
   filler.spec.checkpoint_interval_s = 0;
-  leader_.Add(filler);
+  leader_.AddLiveJob(filler);
   Run(4);
-  LiveJob probes = LongJob("job-000001", 24);
+  LiveJob probes = MakeLongJob("job-000001", 24);
   probes.spec.checkpoint_interval_s = 0;
-  leader_.Add(probes);
+  leader_.AddLiveJob(probes);
   Run(4);
-  std::map<std::pair<std::string, uint32_t>, double> began;
+  std::map<std::pair<std::string, uint32_t>, double> started_s;
   for (int step = 0; step < 20; ++step) {
     Run(2);
     for (Worker* worker : workers) {
@@ -464,23 +469,24 @@
       for (const TaskStatus& task : std::vector(worker->tasks())) {
         if (task.job != "job-000001" || task.state != TaskState::kRunning)
           continue;
-        double& at = began[{task.job, task.task}];
-        if (at == 0) at = leader_.now();
-        if (leader_.now() - at >= run_s) worker->Finish(task.job, task.task);
+        double& start_s = started_s[{task.job, task.task}];
+        if (start_s == 0) start_s = leader_.now();
+        if (leader_.now() - start_s >= run_s)
+          worker->Finish(task.job, task.task);
       }
     }
   }
-  leader_.Add(LongJob("job-000002", 16));
+  leader_.AddLiveJob(MakeLongJob("job-000002", 16));
   Run(8);
-  ASSERT_GT(workers[0]->Running("job-000002"), 0u);
+  ASSERT_GT(workers[0]->CountRunning("job-000002"), 0u);
   Run(60);
-  // The others have room for 12 of the 16.
-  EXPECT_GE(Moves().finished, 10u);
-  EXPECT_LE(workers[0]->Running("job-000002"), 4u);
+  // The other machines have capacity for 12 of the 16 tasks.
+  EXPECT_GE(MoveStatistics().finished, 10u);
+  EXPECT_LE(workers[0]->CountRunning("job-000002"), 4u);
   for (size_t i = 1; i < workers.size(); ++i)
-    EXPECT_EQ(workers[i]->Running(), 16u);
+    EXPECT_EQ(workers[i]->CountRunning(), 16u);
   size_t running = 0;
-  for (Worker* worker : workers) running += worker->Running("job-000002");
+  for (Worker* worker : workers) running += worker->CountRunning("job-000002");
   EXPECT_EQ(running, 16u);
 }
 
--- a/tests/scripted_leader.h
+++ b/tests/scripted_leader.h
@@ -1,4 +1,5 @@
-// One leader alone, its surroundings scripted: what it does for a given report.
+// Drives a single leader in tests with scripted surroundings: peers, state
+// service, cloud and machines.
 #pragma once
 
 #include <algorithm>
@@ -19,9 +20,10 @@
 
 namespace sorrelwood::test {
 
+// Fencing token of the leader before the one under test.
 inline constexpr uint64_t kOldToken = 7;
 
-// State service and cloud answer at once; machines are driven by the test.
+// State service and cloud answer at once; the test sends the heartbeats.
 class ScriptedLeader {
  public:
   explicit ScriptedLeader(double heartbeat_interval_s = 2, double hold_s = 10,
@@ -52,7 +54,8 @@
     keys_[keys::ForMachine(name)] = {protocol::EncodeMachineRecord(record),
                                      ++revision_};
   }
-  // An earlier leader knows it when it is there before the election.
+  // Stores a job. An earlier leader knew the jobs that are stored before the
+  // election.
   void AddJob(const std::string& id, uint32_t tasks, double cpus = 1,
               const std::string& image = "",
               const std::string& job_class = "class",
@@ -77,8 +80,8 @@
         {keys::ForLiveJob(id), keys_[keys::ForLiveJob(id)].first, revision_});
   }
 
-  // Any job, as its user would have submitted it now.
-  void Add(LiveJob job) {
+  // Stores the job as if its user had submitted it now.
+  void AddLiveJob(LiveJob job) {
     const std::string id = job.spec.id;
     job.submitted_wall_s = 1e6 + now_;
     keys_[keys::ForLiveJob(id)] = {protocol::EncodeLiveJob(job), ++revision_};
@@ -86,7 +89,7 @@
         {keys::ForLiveJob(id), keys_[keys::ForLiveJob(id)].first, revision_});
   }
 
-  // A service whose replicas take `cpus` each.
+  // Stores a service whose replicas take `cpus` each.
   void AddService(const std::string& id, uint32_t replicas, double cpus,
                   const std::string& team) {
     LiveJob job;
@@ -107,11 +110,12 @@
   void Run(double seconds) {
     for (const double until = now_ + seconds; now_ < until; now_ += 0.1) {
       Handle(controller_->Tick(Time()));
-      most_work_ = std::max(most_work_, controller_->items_examined());
+      max_items_examined_ =
+          std::max(max_items_examined_, controller_->items_examined());
     }
   }
 
-  // A report and the answer to it.
+  // Delivers a heartbeat and returns the response.
   HeartbeatResponse OnHeartbeat(const std::string& machine,
                                 uint64_t incarnation, uint64_t sequence,
                                 uint64_t token,
@@ -119,9 +123,9 @@
     Heartbeat heartbeat;
     heartbeat.machine = machine;
     heartbeat.address = machine + ":1";
-    const auto place = places.find(machine);
-    heartbeat.type = place == places.end() ? "big" : place->second.type;
-    heartbeat.zone = place == places.end() ? "a" : place->second.zone;
+    const auto place = machine_places.find(machine);
+    heartbeat.type = place == machine_places.end() ? "big" : place->second.type;
+    heartbeat.zone = place == machine_places.end() ? "a" : place->second.zone;
     heartbeat.preemption_notice_s = preemption_notice_s;
     heartbeat.incarnation = incarnation;
     heartbeat.sequence = sequence;
@@ -129,23 +133,25 @@
     heartbeat.tasks = std::move(tasks);
     answer_ = HeartbeatResponse();
     Handle(controller_->OnHeartbeat(Time(), ++request_, heartbeat));
-    most_work_ = std::max(most_work_, controller_->items_examined());
+    max_items_examined_ =
+        std::max(max_items_examined_, controller_->items_examined());
     return answer_;
   }
 
-  // Where machines are that are not of type `big` in zone `a`.
+  // Types and zones of machines that are not of type `big` in zone `a`.
   struct Place {
     std::string type, zone;
   };
-  std::map<std::string, Place> places;
-  // Machine types that the cloud has.
+  std::map<std::string, Place> machine_places;
+  // Machine types that the cloud offers.
   std::vector<MachineType> types = {
       {"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"a"}}};
-  // Of the next reports: until the cloud takes the machine.
+  // Notice in the next heartbeats: seconds until the cloud preempts the
+  // machine.
   std::optional<double> preemption_notice_s;
 
-  // The process stands still: the clock goes on, nothing is heard.
-  void StandStill(double seconds) { now_ += seconds; }
+  // Simulates a paused process: time passes without any input.
+  void PauseProcess(double seconds) { now_ += seconds; }
   void SetLeader(const std::string& node, uint64_t term) {
     keys_[keys::kLeader] = {protocol::EncodeLeaderRecord({node, term}),
                             ++revision_};
@@ -157,11 +163,13 @@
   }
   bool leading() { return controller_->CollectStatistics().leading; }
   double now() const { return now_; }
-  // The last release that was asked for, and by when it must have left.
-  double release_not_after = 0;
-  // Machines that a rental brings, one each; none: there is no capacity.
-  std::deque<std::string> to_rent;
-  ClientResponse Ask(bool submit, const std::string& id) {
+  // Seconds left at the last release request until its send deadline.
+  double last_release_window_s = 0;
+  // Machines that provisioning returns, in order; without any the cloud reports
+  // that it has no capacity.
+  std::deque<std::string> machines_to_provision;
+  // Submits a job of one task, or polls the job.
+  ClientResponse SubmitOrPoll(bool submit, const std::string& id) {
     user_answer_ = ClientResponse{0, 0, "", 0};
     JobSpec spec;
     spec.id = id;
@@ -172,12 +180,12 @@
                   : controller_->Poll(Time(), ++request_, id));
     return user_answer_;
   }
-  // The state service answers nothing that is asked for users.
+  // The state service does not answer requests made for users.
   bool users_unanswered = false;
-  // Nor any renewal of the leader's lease.
+  // The state service does not answer renewals of the leader's lease.
   bool lease_unanswered = false;
-  // The state service refuses renewals; answers no watch; no listing of
-  // records.
+  // The state service refuses renewals; does not answer watches; does not
+  // answer listings of records.
   bool lease_refused = false, watch_unanswered = false,
        records_unanswered = false;
   void Cancel(const std::string& id) {
@@ -188,7 +196,7 @@
     news_.push_back({keys::ForFinalState(id),
                      keys_[keys::ForFinalState(id)].first, revision_});
   }
-  void Repeat(const JobSpec& spec) {
+  void Resubmit(const JobSpec& spec) {
     user_answer_ = ClientResponse{0, 0, "", 0};
     Handle(controller_->Submit(Time(), ++request_, spec));
   }
@@ -199,18 +207,20 @@
     return controller_->CollectStatistics();
   }
   uint64_t token() { return controller_->CollectStatistics().term; }
-  uint64_t most_work() const { return most_work_; }
-  void ForgetWork() { most_work_ = 0; }
+  uint64_t max_items_examined() const { return max_items_examined_; }
+  void ResetMaxItemsExamined() { max_items_examined_ = 0; }
   bool Released(const std::string& machine) const {
     return released_.count(machine) > 0;
   }
   bool HasKey(const std::string& key) const { return keys_.count(key) > 0; }
-  bool cloud_out = false;
-  std::vector<std::string> listed;  // by the cloud; none: it does not answer
-  // What machines answer to a direct command; the others do not.
-  std::map<std::string, Heartbeat> direct;
+  bool cloud_unavailable = false;
+  // Machines that the cloud lists; if empty, listing fails.
+  std::vector<std::string> cloud_listing;
+  // Heartbeats with which machines answer pushed commands; other machines do
+  // not answer.
+  std::map<std::string, Heartbeat> push_responses;
 
-  static int Starts(const HeartbeatResponse& answer) {
+  static int CountStarts(const HeartbeatResponse& answer) {
     return static_cast<int>(std::count_if(
         answer.commands.begin(), answer.commands.end(),
         [](const Command& c) { return c.kind == CommandKind::kStart; }));
@@ -226,9 +236,9 @@
       if (auto* answer = std::get_if<ClientResponse>(&action))
         user_answer_ = *answer;
       if (auto* release = std::get_if<ReleaseMachines>(&action))
-        release_not_after = release->not_after - now_;
+        last_release_window_s = release->not_after - now_;
       if (auto* release = std::get_if<ReleaseMachines>(&action))
-        if (!cloud_out)
+        if (!cloud_unavailable)
           released_.insert(release->machines.begin(), release->machines.end());
       std::visit([this](auto& item) { Serve(item); }, action);
     }
@@ -236,10 +246,10 @@
   template <typename Item>
   void Serve(const Item&) {}
   template <typename Result>
-  void Give(const Result& result) {
+  void DeliverResult(const Result& result) {
     Handle(controller_->Deliver(Time(), result));
   }
-  StateResult Ok(uint64_t id) const {
+  StateResult MakeOkResult(uint64_t id) const {
     StateResult result;
     result.id = id;
     result.outcome = Outcome::kOk;
@@ -249,13 +259,13 @@
   void Serve(const PushedCommands& command) {
     PushResult result;
     result.id = command.id;
-    auto it = direct.find(command.machine);
-    result.answered = result.accepted = it != direct.end();
+    auto it = push_responses.find(command.machine);
+    result.answered = result.accepted = it != push_responses.end();
     if (result.answered) {
       result.heartbeat = it->second;
       result.heartbeat.fencing_token = command.fencing_token;
     }
-    Give(result);
+    DeliverResult(result);
   }
   void Serve(const StateTransaction& t) {
     if (users_unanswered && (t.connection == StateConnection::kUser ||
@@ -265,10 +275,10 @@
       auto it = keys_.find(guard.key);
       if ((it == keys_.end() ? 0 : it->second.second) == guard.version)
         continue;
-      StateResult result = Ok(t.id);
+      StateResult result = MakeOkResult(t.id);
       result.outcome = Outcome::kConflict;
       result.failed_preconditions = {guard.key};
-      Give(result);
+      DeliverResult(result);
       return;
     }
     ++revision_;
@@ -278,139 +288,147 @@
       else
         keys_[op.key] = {op.value, revision_};
     }
-    Give(Ok(t.id));
+    DeliverResult(MakeOkResult(t.id));
   }
   void Serve(const StateGet& get) {
     if (get.connection == StateConnection::kPoll) ++user_reads;
     if (users_unanswered && get.connection == StateConnection::kPoll) return;
-    StateResult result = Ok(get.id);
+    StateResult result = MakeOkResult(get.id);
     auto it = keys_.find(get.key);
     if (it == keys_.end())
       result.outcome = Outcome::kConflict;
     else
       result.items = {{get.key, it->second.first, it->second.second, false}};
-    Give(result);
+    DeliverResult(result);
   }
   void Serve(const StateList& list) {
     if (records_unanswered && list.prefix != keys::kLivePrefix) return;
-    StateResult result = Ok(list.id);
+    StateResult result = MakeOkResult(list.id);
     for (const auto& [key, entry] : keys_)
       if (key.compare(0, list.prefix.size(), list.prefix) == 0)
         result.items.push_back({key, entry.first, entry.second, false});
-    Give(result);
+    DeliverResult(result);
   }
   void Serve(const StateWatch& watch) {
     if (watch_unanswered) return;
-    // Answered at the next input, so that the core does not ask without end.
-    if (news_.empty() && now_ < next_watch_) {
-      watch_ = watch;
+    // Answers later, since the controller renews its watch at once and would
+    // loop forever.
+    if (news_.empty() && now_ < next_watch_answer_s_) {
+      pending_watch_ = watch;
       return;
     }
-    next_watch_ = now_ + 1;
-    StateResult result = Ok(watch.id);
+    next_watch_answer_s_ = now_ + 1;
+    StateResult result = MakeOkResult(watch.id);
     for (const auto& [key, value, version] : news_)
       result.items.push_back({key, value, version, value.empty()});
     news_.clear();
-    Give(result);
-  }
-  void Serve(const SendPeerStatus&) {  // once a second: the watch is looked at
-    if (watch_.id == 0) return;
-    const StateWatch watch = std::exchange(watch_, {});
-    next_watch_ = 0;
+    DeliverResult(result);
+  }
+  // The leader sends its status once a second: an occasion to answer the
+  // pending watch.
+  void Serve(const SendPeerStatus&) {
+    if (pending_watch_.id == 0) return;
+    const StateWatch watch = std::exchange(pending_watch_, {});
+    next_watch_answer_s_ = 0;
     Serve(watch);
   }
   void Serve(const LeaseCreate& create) {
-    StateResult result = Ok(create.id);
+    StateResult result = MakeOkResult(create.id);
     result.lease = 1;
-    Give(result);
+    DeliverResult(result);
   }
   void Serve(const LeaseRenew& renew) {
     if (lease_unanswered) return;
-    StateResult result = Ok(renew.id);
+    StateResult result = MakeOkResult(renew.id);
     if (lease_refused) result.outcome = Outcome::kRefused;
-    Give(result);
+    DeliverResult(result);
   }
   void Serve(const FetchCatalog& catalog) {
     CloudResult result;
     result.id = catalog.id;
     result.outcome = Outcome::kOk;
     result.types = types;
-    Give(result);
+    DeliverResult(result);
   }
-  void Serve(const ProvisionMachines& rent) {
+  void Serve(const ProvisionMachines& request) {
     CloudResult result;
-    result.id = rent.id;
+    result.id = request.id;
     result.outcome = Outcome::kOk;
-    for (int i = 0; i < rent.record.count && !to_rent.empty(); ++i) {
-      result.machines.push_back(to_rent.front());
-      to_rent.pop_front();
+    for (int i = 0; i < request.record.count && !machines_to_provision.empty();
+         ++i) {
+      result.machines.push_back(machines_to_provision.front());
+      machines_to_provision.pop_front();
     }
     if (result.machines.empty())
-      Cloud(rent.id, false);
+      DeliverCloudResult(request.id, false);
     else
-      Give(result);
+      DeliverResult(result);
+  }
+  void Serve(const ReleaseMachines& release) {
+    DeliverCloudResult(release.id, !cloud_unavailable);
   }
-  void Serve(const ReleaseMachines& release) { Cloud(release.id, !cloud_out); }
   void Serve(const ListCloudMachines& list) {
-    if (listed.empty()) return Cloud(list.id, false);
+    if (cloud_listing.empty()) return DeliverCloudResult(list.id, false);
     CloudResult result;
     result.id = list.id;
     result.outcome = Outcome::kOk;
-    for (const std::string& name : listed)
+    for (const std::string& name : cloud_listing)
       result.listed.push_back(
           {name, name + ":1", "big", "a", true, MachineStatus::kRunning, 100});
-    Give(result);
+    DeliverResult(result);
   }
-  void Cloud(uint64_t id, bool ok) {
+  void DeliverCloudResult(uint64_t id, bool ok) {
     CloudResult result;
     result.id = id;
     result.outcome = ok ? Outcome::kOk : Outcome::kRefused;
     result.no_capacity = !ok;
-    Give(result);
+    DeliverResult(result);
   }
 
   ClusterSettings settings_;
   PolicySettings policy_;
   std::unique_ptr<Controller> controller_;
-  double now_ = 100, next_watch_ = 0;
-  uint64_t request_ = 0, revision_ = 1, most_work_ = 0;
+  double now_ = 100, next_watch_answer_s_ = 0;
+  uint64_t request_ = 0, revision_ = 1, max_items_examined_ = 0;
   std::map<std::string, std::pair<std::string, uint64_t>> keys_;
   std::vector<std::tuple<std::string, std::string, uint64_t>> news_;
-  StateWatch watch_;
+  StateWatch pending_watch_;
   HeartbeatResponse answer_;
   ClientResponse user_answer_;
   std::set<std::string> released_;
 };
 
-// A machine that works as it should: a report every `heartbeat_interval_s`.
-struct Healthy {
-  explicit Healthy(std::string machine) : name(std::move(machine)) {}
+// A healthy machine, which starts every task that it is ordered to start. The
+// test calls SendHeartbeat() at the leader's heartbeat interval.
+struct HealthyMachine {
+  explicit HealthyMachine(std::string machine) : name(std::move(machine)) {}
 
   std::string name;
   uint64_t sequence = 0;
   std::vector<TaskStatus> tasks;
 
-  int Beat(ScriptedLeader* leader) {
+  // Returns the number of tasks that the response starts.
+  int SendHeartbeat(ScriptedLeader* leader) {
     const uint64_t token = sequence == 0 ? 0 : leader->token();
     const HeartbeatResponse answer =
         leader->OnHeartbeat(name, 1, ++sequence, token, tasks);
     for (const Command& c : answer.commands)
       if (c.kind == CommandKind::kStart)
         tasks.push_back({c.job, c.task, c.attempt, TaskState::kRunning});
-    return ScriptedLeader::Starts(answer);
+    return ScriptedLeader::CountStarts(answer);
   }
 };
 
-// n-0, n-1 and so on.
-inline std::vector<Healthy> MakeMachines(int count) {
-  std::vector<Healthy> machines;
+// Makes machines named n-0, n-1 and so on.
+inline std::vector<HealthyMachine> MakeMachines(int count) {
+  std::vector<HealthyMachine> machines;
   machines.reserve(static_cast<size_t>(count));
   for (int i = 0; i < count; ++i)
     machines.emplace_back("n-" + std::to_string(i));
   return machines;
 }
 
-inline int Stops(const HeartbeatResponse& answer) {
+inline int CountStops(const HeartbeatResponse& answer) {
   return static_cast<int>(std::count_if(
       answer.commands.begin(), answer.commands.end(),
       [](const Command& c) { return c.kind == CommandKind::kStop; }));
