--- a/tests/balance_test.cc
+++ b/tests/balance_test.cc
@@ -1,5 +1,5 @@
-// The parts of load spread by themselves: bounds, measure, sets, budget,
-// speeds.
+// Unit tests of the load spread components: load bounds, imbalance, machine
+// sets, move budget and speed tracker.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -17,7 +17,7 @@
 namespace sorrelwood {
 namespace {
 
-// Machines with 16 cores in two zones, and one team without a limit.
+// Provides machines with 16 cores in two zones, and one team without a limit.
 class BoundsTest : public ::testing::Test {
  protected:
   BoundsTest() { settings_.teams = {{"team", 0, kNoLimit, 0, kNoLimit}}; }
@@ -29,9 +29,10 @@
     machine->lifecycle.token_acknowledged = true;
     return machine;
   }
-  // A job whose tasks run already on the machine, `count` of them.
-  Job* Run(Machine* machine, uint32_t count, const std::string& team = "team",
-           const std::string& zone = "") {
+  // Adds a job of which `count` tasks already run on the machine.
+  Job* AddRunningJob(Machine* machine, uint32_t count,
+                     const std::string& team = "team",
+                     const std::string& zone = "") {
     auto record = std::make_shared<LiveJob>();
     record->spec.id = "job-" + std::to_string(100000 + next_job_++);
     record->spec.team = team;
@@ -48,7 +49,7 @@
     }
     return job;
   }
-  Imbalance CollectStatistics() {
+  Imbalance MeasureImbalance() {
     bounds_.Update(0);
     return ImbalanceMeter(&bounds_).Measure(&machines_);
   }
@@ -62,75 +63,76 @@
   int next_job_ = 0;
 };
 
-TEST_F(BoundsTest, AMachinesPartFollowsTheDemand) {
+TEST_F(BoundsTest, AMachinesBoundFollowsTheDemand) {
   Machine* busy = AddMachine("n-1");
   AddMachine("n-2");
-  Job* job = Run(busy, 8);
+  Job* job = AddRunningJob(busy, 8);
   bounds_.Update(0);
-  // 8 of 32 cores are asked for: 4 for each machine, and a quarter more.
+  // 8 of 32 cores are in demand: 4 for each machine, plus a quarter of
+  // headroom.
   EXPECT_DOUBLE_EQ(bounds_.TotalBound(*busy), 5);
   EXPECT_DOUBLE_EQ(bounds_.TeamBound("team", *busy), 5);
   EXPECT_FALSE(bounds_.AllowsTask(*job, *busy));
   EXPECT_TRUE(bounds_.AllowsTask(*job, *machines_.Find("n-2")));
 }
 
-TEST_F(BoundsTest, PendingWorkLoosensTheBounds) {
+TEST_F(BoundsTest, PendingTasksRaiseTheBounds) {
   Machine* busy = AddMachine("n-1");
   AddMachine("n-2");
-  Job* job = Run(busy, 8);
+  Job* job = AddRunningJob(busy, 8);
   job->progress.pending.Add(100, 124);
   bounds_.Update(0);
   EXPECT_DOUBLE_EQ(bounds_.TotalBound(*busy), 20);
   EXPECT_TRUE(bounds_.AllowsTask(*job, *busy));
 }
 
-TEST_F(BoundsTest, OneTaskIsNeverACrowd) {
+TEST_F(BoundsTest, OneTaskIsNoImbalance) {
   Machine* machine = AddMachine("n-1");
   for (int i = 2; i < 20; ++i) AddMachine("n-" + std::to_string(i));
-  Run(machine, 1);
-  EXPECT_EQ(CollectStatistics().share, 0);
+  AddRunningJob(machine, 1);
+  EXPECT_EQ(MeasureImbalance().share, 0);
 }
 
-TEST_F(BoundsTest, MachinesThatAreEmptiedDoNotCount) {
+TEST_F(BoundsTest, DrainingMachinesDoNotCount) {
   Machine* busy = AddMachine("n-1");
   AddMachine("n-2")->role.excess = true;
-  Run(busy, 8);
-  EXPECT_EQ(CollectStatistics().share, 0);
+  AddRunningJob(busy, 8);
+  EXPECT_EQ(MeasureImbalance().share, 0);
 }
 
-TEST_F(BoundsTest, TheMeasureIsTheShareThatWouldHaveToMove) {
+TEST_F(BoundsTest, ImbalanceIsTheShareAboveTheBounds) {
   Machine* busy = AddMachine("n-1");
   AddMachine("n-2");
-  Run(busy, 8);
-  const Imbalance imbalance = CollectStatistics();
-  // 3 of 8 cores lie above the bound of 5.
+  AddRunningJob(busy, 8);
+  const Imbalance imbalance = MeasureImbalance();
+  // 3 of 8 cores are above the bound of 5.
   EXPECT_DOUBLE_EQ(imbalance.share, 3.0 / 8);
   ASSERT_EQ(imbalance.crowded.size(), 1u);
   EXPECT_EQ(imbalance.crowded[0].machine, busy);
 }
 
-TEST_F(BoundsTest, WhatMayBeNowhereElseIsNoImbalance) {
+TEST_F(BoundsTest, TasksWithoutAnAlternativeAreNoImbalance) {
   Machine* busy = AddMachine("n-1", "a");
   AddMachine("n-2", "b");
-  Run(busy, 8, "team", /*zone=*/"a");
-  EXPECT_EQ(CollectStatistics().share, 0);
+  AddRunningJob(busy, 8, "team", /*zone=*/"a");
+  EXPECT_EQ(MeasureImbalance().share, 0);
 }
 
-TEST_F(BoundsTest, ATeamCrowdsAMachineThatIsEvenlyUsed) {
+TEST_F(BoundsTest, ATeamCanOverloadAMachineOfAnEvenlyUsedFleet) {
   settings_.teams.push_back({"other", 0, kNoLimit, 0, kNoLimit});
   Machine* first = AddMachine("n-1");
   Machine* second = AddMachine("n-2");
-  Run(first, 6, "team");
-  Run(second, 6, "other");
-  const Imbalance imbalance = CollectStatistics();
+  AddRunningJob(first, 6, "team");
+  AddRunningJob(second, 6, "other");
+  const Imbalance imbalance = MeasureImbalance();
   EXPECT_GT(imbalance.share, 0.15);
   ASSERT_FALSE(imbalance.crowded.empty());
   EXPECT_EQ(imbalance.crowded[0].excess_by_team.size(), 1u);
 }
 
-TEST_F(BoundsTest, LoadOfATeamLeavesWithItsTasks) {
+TEST_F(BoundsTest, LoadOfATeamEndsWithItsTasks) {
   Machine* machine = AddMachine("n-1");
-  Run(machine, 3);
+  AddRunningJob(machine, 3);
   EXPECT_DOUBLE_EQ(machine->TeamCpus("team"), 3);
   while (!machine->attempts.empty())
     machine->RemoveAttempt(machine->attempts.begin());
@@ -138,7 +140,7 @@
   EXPECT_TRUE(machine->team_cpus.empty());
 }
 
-TEST_F(BoundsTest, AHeldPlaceIsNoRoom) {
+TEST_F(BoundsTest, ReservedCapacityIsNotFree) {
   Machine* machine = AddMachine("n-1");
   JobSpec spec;
   spec.cpus = 10;
@@ -150,9 +152,9 @@
   EXPECT_TRUE(machine->Fits(spec));
 }
 
-TEST_F(BoundsTest, AFetchEndsWithTheLastTaskThatWaitsForIt) {
+TEST_F(BoundsTest, AFetchEndsWithTheLastTaskThatNeedsIt) {
   Machine* machine = AddMachine("n-1");
-  Run(machine, 2);
+  AddRunningJob(machine, 2);
   machine->fetching.emplace_back("");
   machine->RemoveAttempt(machine->attempts.begin());
   EXPECT_EQ(machine->fetching.size(), 1u);
@@ -175,7 +177,7 @@
   std::mt19937_64 random_{7};
 };
 
-TEST_F(SetsTest, HoldWhatAJobAllows) {
+TEST_F(SetsTest, ContainTheMachinesThatAJobAllows) {
   JobSpec spec;
   EXPECT_EQ(sets_.AllowedFor(spec).cardinality(), 30u);
   spec.spot = true;
@@ -187,24 +189,24 @@
   EXPECT_TRUE(sets_.AllowedFor(spec).isEmpty());
 }
 
-TEST_F(SetsTest, DrawWithoutRepetitionAndWithoutWhatWasRemoved) {
+TEST_F(SetsTest, SamplesHaveNoDuplicatesAndNoRemovedMachines) {
   JobSpec spec;
   spec.zone = "a";
   sets_.Remove(*machines_.Find("n-1"));
-  std::set<Machine*> drawn;
+  std::set<Machine*> sampled;
   for (Machine* machine : sets_.Sample(sets_.AllowedFor(spec), 100, &random_)) {
     EXPECT_EQ(machine->zone, "a");
-    EXPECT_TRUE(drawn.insert(machine).second);
+    EXPECT_TRUE(sampled.insert(machine).second);
   }
-  EXPECT_EQ(drawn.size(), 19u);
+  EXPECT_EQ(sampled.size(), 19u);
   EXPECT_EQ(sets_.Sample(sets_.AllowedFor(spec), 4, &random_).size(), 4u);
 }
 
-TEST(ImageAffinity, ChangesLittleWhenAMachineGoes) {
-  const auto first = [](const std::string& image, int without) {
+TEST(ImageAffinity, ChangesLittleWhenAMachineIsRemoved) {
+  const auto find_best = [](const std::string& image, int excluded) {
     int best = -1;
     for (int i = 0; i < 50; ++i) {
-      if (i == without) continue;
+      if (i == excluded) continue;
       if (best < 0 || ImageAffinityRank(image, "n-" + std::to_string(i)) <
                           ImageAffinityRank(image, "n-" + std::to_string(best)))
         best = i;
@@ -215,14 +217,14 @@
   int changed = 0;
   for (int i = 0; i < 200; ++i) {
     const std::string image = "img-" + std::to_string(i);
-    used.insert(first(image, -1));
-    changed += first(image, -1) != first(image, 17);
+    used.insert(find_best(image, -1));
+    changed += find_best(image, -1) != find_best(image, 17);
   }
   EXPECT_GT(used.size(), 40u);  // images are spread over the machines
   EXPECT_LT(changed, 12);       // 4 are expected
 }
 
-TEST(MoveBudget, IsSpentByFleetTeamAndJob) {
+TEST(MoveBudget, LimitsMovesOfFleetTeamAndJob) {
   SpreadSettings spread;
   spread.moves_per_minute = 4;
   spread.team_moves_per_minute = 3;
@@ -242,7 +244,7 @@
   EXPECT_TRUE(budget.Allows("blue", "job-1", 70.5));
 }
 
-TEST(SpeedTracker, FindsAMachineMuchSlowerThanOthers) {
+TEST(SpeedTracker, FindsASlowMachine) {
   SpeedTracker speeds;
   for (int round = 0; round < 6; ++round) {
     for (int i = 0; i < 8; ++i)
@@ -256,7 +258,7 @@
   EXPECT_FALSE(speeds.IsSlow("slow"));
 }
 
-TEST(SpreadSettings, AreOffUnlessNamed) {
+TEST(SpreadSettings, AreOffByDefault) {
   auto policy = ParseOperatorSettings("fleet { hold_s: 12 }");
   ASSERT_TRUE(policy);
   EXPECT_FALSE(policy->spread.placement);
@@ -269,7 +271,7 @@
   EXPECT_EQ(policy->spread.max_concurrent_fetches, 2);
 }
 
-TEST(SpreadSettings, NameTheFieldThatIsWrong) {
+TEST(SpreadSettings, ErrorsNameTheField) {
   const auto error_of = [](const std::string& text) {
     const auto policy = ParseOperatorSettings(text);
     EXPECT_FALSE(policy) << text;
--- a/tests/state_limits_test.cc
+++ b/tests/state_limits_test.cc
@@ -1,4 +1,4 @@
-// What happens when the state service lowers its limits.
+// Tests the behaviour when the state service lowers its limits.
 #include "core/coordination/state_limits.h"
 
 #include <gtest/gtest.h>
@@ -16,74 +16,74 @@
 namespace sorrelwood {
 namespace {
 
-ClusterSettings FallingLimits(double value_kb, int txn_ops) {
+ClusterSettings AnnounceLimits(double value_kb, int txn_ops) {
   ClusterSettings settings;
   settings.next_state_limits = StateLimits{42, value_kb, txn_ops};
   return settings;
 }
 
-StateResult Refusal(StateRefusal why) {
+StateResult MakeRefusal(StateRefusal reason) {
   StateResult result;
   result.outcome = Outcome::kRefused;
-  result.refusal = why;
+  result.refusal = reason;
   return result;
 }
 
-TEST(StateLimits, FallOnceARefusalShowsItAndStay) {
-  StateLimitTracker limits(FallingLimits(2, 5));
+TEST(StateLimits, AnnouncedLimitsApplyAfterARefusal) {
+  StateLimitTracker limits(AnnounceLimits(2, 5));
   EXPECT_EQ(limits.max_mutations(), 5);
   EXPECT_EQ(limits.max_preconditions(), 20u);
   EXPECT_EQ(limits.max_value_bytes(), 8192u);
   EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 60);
-  limits.ObserveResult(Refusal(StateRefusal::kNone));
+  limits.ObserveResult(MakeRefusal(StateRefusal::kNone));
   EXPECT_EQ(limits.max_value_bytes(), 8192u);
-  limits.ObserveResult(Refusal(StateRefusal::kTooLarge));
+  limits.ObserveResult(MakeRefusal(StateRefusal::kTooLarge));
   EXPECT_EQ(limits.max_value_bytes(), 2048u);
   EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 60);
-  limits.ObserveResult(Refusal(StateRefusal::kTooManyChanges));
+  limits.ObserveResult(MakeRefusal(StateRefusal::kTooManyChanges));
   EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 42);
   limits.ObserveResult(StateResult());
   EXPECT_EQ(limits.max_value_bytes(), 2048u);
 }
 
-TEST(StateLimits, WithoutAnnouncementStayAsTheyAre) {
+TEST(StateLimits, StayUnchangedWithoutAnnouncement) {
   StateLimitTracker limits{ClusterSettings()};
-  limits.ObserveResult(Refusal(StateRefusal::kTooLarge));
-  limits.ObserveResult(Refusal(StateRefusal::kTooManyChanges));
+  limits.ObserveResult(MakeRefusal(StateRefusal::kTooLarge));
+  limits.ObserveResult(MakeRefusal(StateRefusal::kTooManyChanges));
   EXPECT_EQ(limits.max_mutations(), 16);
   EXPECT_EQ(limits.max_value_bytes(), 8192u);
   EXPECT_DOUBLE_EQ(limits.mutations_per_s(), 60);
 }
 
-// A state service with limits, and a leader's writer in front of it.
-class LimitedStore {
+// A state service that enforces limits, with the leader's writer to it.
+class LimitedStateService {
  public:
-  explicit LimitedStore(const ClusterSettings& settings)
+  explicit LimitedStateService(const ClusterSettings& settings)
       : limits_(settings),
         context_(1),
         job_cache_(&context_),
         election_(&context_, &job_cache_, "node-0", 14, 39),
         writer_(&context_, &election_, &limits_) {}
 
-  size_t value_bytes = 8192;
-  size_t changes = 16;
+  size_t max_value_bytes = 8192;
+  size_t max_mutations = 16;
 
   StateWriter& writer() { return writer_; }
   const StateLimitTracker& limits() const { return limits_; }
   const std::map<std::string, std::string>& values() const { return values_; }
-  int refused() const { return refused_; }
-  StateResult Listing() const {
+  int refused_count() const { return refused_count_; }
+  StateResult ListAll() const {
     StateResult listing;
     for (const auto& [key, value] : values_)
       listing.items.push_back({key, value, 1, false});
     return listing;
   }
 
-  // `between` runs before each round of writes.
-  void Run(double seconds, const std::function<void()>& between) {
+  // Calls `before_write` before each round of writes.
+  void Run(double seconds, const std::function<void()>& before_write) {
     for (const double until = now_ + seconds; now_ < until; now_ += 0.04) {
       context_.now = now_;
-      if (between) between();
+      if (before_write) before_write();
       writer_.Tick();
       for (const Action& action : std::exchange(context_.actions, {}))
         if (const auto* sent = std::get_if<StateTransaction>(&action))
@@ -97,9 +97,9 @@
     result.id = transaction.id;
     result.outcome = Outcome::kOk;
     for (const Mutation& op : transaction.mutations)
-      if (op.value.size() > value_bytes ||
-          transaction.mutations.size() > changes) {
-        result = Refusal(StateRefusal::kTooLarge);
+      if (op.value.size() > max_value_bytes ||
+          transaction.mutations.size() > max_mutations) {
+        result = MakeRefusal(StateRefusal::kTooLarge);
         result.id = transaction.id;
       }
     if (result.outcome == Outcome::kOk) {
@@ -110,7 +110,7 @@
           values_[op.key] = op.value;
       }
     } else {
-      ++refused_;
+      ++refused_count_;
     }
     limits_.ObserveResult(result);
     context_.Deliver(result);
@@ -123,35 +123,35 @@
   StateWriter writer_;
   std::map<std::string, std::string> values_;
   double now_ = 100;
-  int refused_ = 0;
+  int refused_count_ = 0;
 };
 
-TEST(StateWriter, AValueThatIsNeverTakenHoldsUpNothing) {
-  LimitedStore store{ClusterSettings()};
-  int given_up = 0;
+TEST(StateWriter, AValueThatIsAlwaysRefusedDelaysNothing) {
+  LimitedStateService store{ClusterSettings()};
+  int dropped = 0;
   const std::string large(9000, 'x');
   store.writer().Put("large", "\"" + large + "\"",
-                     {nullptr, [&] { ++given_up; }, /*urgent=*/false});
+                     {nullptr, [&] { ++dropped; }, /*urgent=*/false});
   for (int i = 0; i < 30; ++i)
     store.writer().Put("small-" + std::to_string(i), "1");
   store.Run(3, nullptr);
   EXPECT_EQ(store.values().size(), 30u);
-  EXPECT_EQ(given_up, 1);
-  // Once in a batch and once alone.
-  EXPECT_EQ(store.refused(), 2);
+  EXPECT_EQ(dropped, 1);
+  // The large value is refused once in a batch and once alone.
+  EXPECT_EQ(store.refused_count(), 2);
 }
 
-TEST(StateWriter, BatchesKeepToTheSmallerLimitFromTheStart) {
-  LimitedStore store(FallingLimits(2, 5));
-  store.changes = 5;
+TEST(StateWriter, BatchesKeepToAnAnnouncedSmallerLimit) {
+  LimitedStateService store(AnnounceLimits(2, 5));
+  store.max_mutations = 5;
   for (int i = 0; i < 100; ++i)
     store.writer().Put("small-" + std::to_string(i), "1");
   store.Run(5, nullptr);
   EXPECT_EQ(store.values().size(), 100u);
-  EXPECT_EQ(store.refused(), 0);
+  EXPECT_EQ(store.refused_count(), 0);
 }
 
-std::shared_ptr<LiveJob> ArrayOf(uint32_t tasks) {
+std::shared_ptr<LiveJob> MakeArray(uint32_t tasks) {
   auto job = std::make_shared<LiveJob>();
   job->spec.id = "job-1";
   job->spec.tasks = tasks;
@@ -161,14 +161,16 @@
 
 class ProgressLimits : public ::testing::TestWithParam<size_t> {};
 
-// An array as large as any, its progress written before and after the fall.
-TEST_P(ProgressLimits, NothingWrittenIsLostWhenValuesShrink) {
+// Guards against lost progress of an array of the maximum size that is written
+// before and after the limits become lower.
+TEST_P(ProgressLimits, KeepsProgressWhenTheValueLimitShrinks) {
   constexpr uint32_t kTasks = kMaxTasksPerJob;
-  const size_t small = GetParam();
-  LimitedStore store(FallingLimits(static_cast<double>(small) / 1024, 5));
+  const size_t lowered_limit = GetParam();
+  LimitedStateService store(
+      AnnounceLimits(static_cast<double>(lowered_limit) / 1024, 5));
   JobTable jobs;
   CompletionStore progress(&jobs, &store.writer(), &store.limits());
-  Job* job = jobs.Add(ArrayOf(kTasks), 1, false, 0);
+  Job* job = jobs.Add(MakeArray(kTasks), 1, false, 0);
   const auto complete = [&](uint32_t begin, uint32_t end) {
     for (uint32_t n = begin; n < end; ++n) jobs.MarkDone(job, n);
     progress.MarkDirty("job-1");
@@ -177,26 +179,26 @@
   complete(99990, 99995);
   store.Run(10, [&] { progress.Write(); });
   EXPECT_EQ(job->progress.committed.size(), 20005u);
-  EXPECT_EQ(store.refused(), 0);
+  EXPECT_EQ(store.refused_count(), 0);
   for (const auto& [key, value] : store.values())
-    EXPECT_EQ(value[0], '"') << key << " is not in the form of before";
+    EXPECT_EQ(value[0], '"') << key << " is not in the old format";
 
-  store.value_bytes = small;
-  store.changes = 5;
+  store.max_value_bytes = lowered_limit;
+  store.max_mutations = 5;
   complete(20000, 20003);
   complete(70001, 70002);
   store.Run(30, [&] { progress.Write(); });
   EXPECT_EQ(job->progress.committed.ranges(), job->progress.done.ranges());
-  EXPECT_LE(store.refused(), 4);
+  EXPECT_LE(store.refused_count(), 4);
 
-  // The next leader reads both forms.
+  // The next leader reads both formats.
   JobTable next_jobs;
   CompletionStore next(&next_jobs, &store.writer(), &store.limits());
-  next.Load(store.Listing());
-  Job* again = next_jobs.Add(ArrayOf(kTasks), 1, true, 0);
-  next.Restore(again);
+  next.Load(store.ListAll());
+  Job* restored = next_jobs.Add(MakeArray(kTasks), 1, true, 0);
+  next.Restore(restored);
   next.FinishLoading();
-  EXPECT_EQ(again->progress.done.ranges(), job->progress.done.ranges());
+  EXPECT_EQ(restored->progress.done.ranges(), job->progress.done.ranges());
   next.Remove("job-1");
   store.Run(10, nullptr);
   EXPECT_TRUE(store.values().empty());
@@ -205,14 +207,14 @@
 INSTANTIATE_TEST_SUITE_P(Sizes, ProgressLimits,
                          ::testing::Values(2048, 1024, 512, 256));
 
-// The version before takes any string of digits for a whole chunk, so a part
-// must be nothing that it can read.
-TEST(Progress, APartIsNoWholeChunk) {
-  CompletionRecord part{4096, "ff"};
-  EXPECT_EQ(protocol::EncodeCompletionRecord(part),
+// The previous version reads any string of hex digits as a full record, so a
+// partial record must not be readable for it.
+TEST(Progress, APartialRecordIsNoFullRecord) {
+  CompletionRecord partial{4096, "ff"};
+  EXPECT_EQ(protocol::EncodeCompletionRecord(partial),
             R"({"bits":"ff","from":4096})");
-  const auto read =
-      protocol::ParseCompletionRecord(protocol::EncodeCompletionRecord(part));
+  const auto read = protocol::ParseCompletionRecord(
+      protocol::EncodeCompletionRecord(partial));
   ASSERT_TRUE(read);
   EXPECT_EQ(read->first_task, 4096u);
   EXPECT_EQ(read->bits_hex, "ff");
@@ -222,7 +224,7 @@
     EXPECT_FALSE(protocol::ParseCompletionRecord(bad)) << bad;
 }
 
-// Users' submissions under a limit on values.
+// Submits jobs of users under a limit on the size of values.
 class Submissions : public ::testing::Test {
  protected:
   Submissions()
@@ -232,11 +234,11 @@
     job_api_.UpdateCatalog({{"big", 16, 0, 64, 100, 1, 1, 0.4, 10, {"zone"}}});
   }
   static ClusterSettings Settings() {
-    ClusterSettings settings = FallingLimits(2, 5);
+    ClusterSettings settings = AnnounceLimits(2, 5);
     settings.teams = {{"team", 10, 100, 0, 0}};
     return settings;
   }
-  JobSpec Large() const {
+  JobSpec MakeLargeSpec() const {
     JobSpec spec;
     spec.id = "job-1";
     spec.team = "team";
@@ -245,9 +247,10 @@
     spec.types = {"big", std::string(3000, 'x')};
     return spec;
   }
-  // The answer to a submission; the state service holds values of `most` bytes
-  // and, if `known`, the job already.
-  int Submit(const JobSpec& spec, size_t most, bool known) {
+  // Submits a job and returns the status of the response. The state service
+  // takes values of up to `max_value_bytes` and, if `known`, already has the
+  // job.
+  int Submit(const JobSpec& spec, size_t max_value_bytes, bool known) {
     job_api_.Submit(++request_, spec);
     int status = 0;
     for (int round = 0; round < 5; ++round) {
@@ -257,7 +260,7 @@
         StateResult result;
         if (const auto* sent = std::get_if<StateTransaction>(&action)) {
           result.id = sent->id;
-          const bool fits = sent->mutations[0].value.size() <= most;
+          const bool fits = sent->mutations[0].value.size() <= max_value_bytes;
           result.outcome = !fits   ? Outcome::kRefused
                            : known ? Outcome::kConflict
                                    : Outcome::kOk;
@@ -291,19 +294,20 @@
 };
 
 TEST_F(Submissions, AreStoredWhileTheyFit) {
-  EXPECT_EQ(Submit(Large(), 8192, false), 201);
+  EXPECT_EQ(Submit(MakeLargeSpec(), 8192, false), 201);
 }
 
-TEST_F(Submissions, ThatCanNotBeStoredAreToldSo) {
-  EXPECT_EQ(Submit(Large(), 2048, false), 400);
-  EXPECT_EQ(Submit(Large(), 2048, false), 400);  // known to be too large now
-  JobSpec larger = Large();
+TEST_F(Submissions, ThatCannotBeStoredAreRefused) {
+  EXPECT_EQ(Submit(MakeLargeSpec(), 2048, false), 400);
+  EXPECT_EQ(Submit(MakeLargeSpec(), 2048, false),
+            400);  // now known to be too large
+  JobSpec larger = MakeLargeSpec();
   larger.types.push_back(std::string(9000, 'y'));
   EXPECT_EQ(Submit(larger, 8192, false), 400);
 }
 
-TEST_F(Submissions, ThatWereAcceptedBeforeTheFallStayKnown) {
-  EXPECT_EQ(Submit(Large(), 2048, true), 200);
+TEST_F(Submissions, AcceptedUnderHigherLimitsStayKnown) {
+  EXPECT_EQ(Submit(MakeLargeSpec(), 2048, true), 200);
 }
 
 }  // namespace
