--- a/tests/adapter_test.cc
+++ b/tests/adapter_test.cc
@@ -1,4 +1,5 @@
-// The HTTP server and the clients built on it, over loopback.
+// Tests the HTTP server, the HTTP client and the clients of state service and
+// cloud over loopback.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <sys/socket.h>
@@ -50,9 +51,10 @@
   std::thread thread_;
 };
 
-// Sends raw bytes and returns all that comes back until the peer closes, or
-// until `enough` stands in it.
-std::string Raw(int port, const std::string& bytes, const std::string& enough) {
+// Sends raw bytes and returns the received bytes, up to the end of the
+// connection or the first read after which they contain `terminator`.
+std::string SendRawRequest(int port, const std::string& bytes,
+                           const std::string& terminator) {
   const int fd = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -62,24 +64,24 @@
             0);
   EXPECT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL),
             static_cast<ssize_t>(bytes.size()));
-  std::string got;
+  std::string received;
   char buffer[4096];
   for (;;) {
     const ssize_t n = recv(fd, buffer, sizeof(buffer), 0);
     if (n <= 0) break;
-    got.append(buffer, static_cast<size_t>(n));
-    if (got.find(enough) != std::string::npos) break;
+    received.append(buffer, static_cast<size_t>(n));
+    if (received.find(terminator) != std::string::npos) break;
   }
   close(fd);
-  return got;
+  return received;
 }
 
-HttpReply Echo(const HttpRequest& request) {
+HttpReply EchoRequest(const HttpRequest& request) {
   return {200, request.method + " " + request.path + " " + request.body};
 }
 
 TEST(HttpServer, KeepsAConnectionForManyRequests) {
-  LocalServer server(Echo);
+  LocalServer server(EchoRequest);
   HttpClient client(server.address(), 2);
   for (int i = 0; i < 20; ++i) {
     const HttpAnswer answer = client.Post("/a/b", std::to_string(i));
@@ -89,22 +91,25 @@
 }
 
 TEST(HttpServer, RefusesUnknownMethodsMalformedAndLargeRequests) {
-  LocalServer server(Echo);
-  EXPECT_NE(Raw(server.port(), "PUT /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n",
-                "\r\n\r\n")
-                .find(" 405 "),
-            std::string::npos);
-  EXPECT_NE(Raw(server.port(), "rubbish\r\n\r\n", "\r\n\r\n").find(" 400 "),
+  LocalServer server(EchoRequest);
+  EXPECT_NE(
+      SendRawRequest(server.port(),
+                     "PUT /x HTTP/1.1\r\nContent-Length: 0\r\n\r\n", "\r\n\r\n")
+          .find(" 405 "),
+      std::string::npos);
+  EXPECT_NE(SendRawRequest(server.port(), "rubbish\r\n\r\n", "\r\n\r\n")
+                .find(" 400 "),
             std::string::npos);
   HttpClient client(server.address(), 2);
   EXPECT_EQ(client.Post("/x", std::string(size_t{65} * 1024, 'a')).status, 400);
   EXPECT_EQ(client.Post("/x", std::string(size_t{64} * 1024, 'a')).status, 200);
-  // A path as long as the library takes does not overflow the small stack.
+  // A path of the library's maximum length does not overflow the small stack of
+  // a request thread.
   EXPECT_EQ(client.Get("/" + std::string(7000, 'a')).status, 200);
 }
 
 TEST(HttpServer, ClosesConnectionsBeyondItsLimit) {
-  LocalServer server(Echo, 2);
+  LocalServer server(EchoRequest, 2);
   HttpClient a(server.address(), 2), b(server.address(), 2),
       c(server.address(), 2);
   EXPECT_EQ(a.Get("/a").status, 200);
@@ -112,16 +117,17 @@
   EXPECT_EQ(c.Get("/c").status, 0);
 }
 
-// Workers that fill their share must not shut out a user, nor be told nothing.
-TEST(HttpServer, LimitsTheConnectionsOfEachKind) {
-  LocalServer server(Echo, 8, 1);
+// Workers that use up their share of connections must not block users, and
+// further workers must get a response.
+TEST(HttpServer, LimitsConnectionsOfEachClientKind) {
+  LocalServer server(EchoRequest, 8, 1);
   HttpClient first(server.address(), 5), second(server.address(), 5),
       user(server.address(), 5);
   EXPECT_EQ(first.Post("/worker", "x").status, 200);
-  const std::string refused =
-      Raw(server.port(),
-          "POST /worker HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n",
-          "too many connections");
+  const std::string refused = SendRawRequest(
+      server.port(),
+      "POST /worker HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n",
+      "too many connections");
   EXPECT_NE(refused.find("503"), std::string::npos);
   EXPECT_NE(refused.find("Retry-After: 1"), std::string::npos);
   EXPECT_EQ(second.Post("/worker", "x").status, 503);
@@ -129,11 +135,11 @@
   EXPECT_EQ(first.Post("/worker", "x").status, 200);
 }
 
-// Workers outnumber threads by far: between two requests a connection needs
-// none.
+// There are far more workers than threads: an idle connection must not hold a
+// thread.
 TEST(HttpServer, HoldsMoreConnectionsThanThreads) {
   constexpr size_t kClients = 300;
-  LocalServer server(Echo, kClients + 10, kClients, 64);
+  LocalServer server(EchoRequest, kClients + 10, kClients, 64);
   std::vector<std::unique_ptr<HttpClient>> clients;
   for (size_t i = 0; i < kClients; ++i)
     clients.push_back(std::make_unique<HttpClient>(server.address(), 20));
@@ -142,9 +148,9 @@
       EXPECT_EQ(client->Post("/worker", "x").body, "POST /worker x");
 }
 
-// Peers that send half a request, and users who wait, hold threads of their
-// own kind only.
-TEST(HttpServer, OneKindLeavesThreadsToTheOthers) {
+// Clients that send incomplete requests and users that wait for a response hold
+// only threads of their own client kind.
+TEST(HttpServer, OneClientKindLeavesThreadsToTheOthers) {
   std::mutex mutex;
   std::condition_variable changed;
   bool release = false;
@@ -157,10 +163,10 @@
           changed.notify_all();
           changed.wait(lock, [&] { return release; });
         }
-        return Echo(request);
+        return EchoRequest(request);
       },
       100, 50, 20);
-  // More users than threads, known as such already.
+  // More users than threads, each already classified as a user.
   std::vector<std::unique_ptr<HttpClient>> clients;
   for (int i = 0; i < 25; ++i) {
     clients.push_back(std::make_unique<HttpClient>(server.address(), 60));
@@ -175,19 +181,20 @@
     std::unique_lock lock(mutex);
     changed.wait(lock, [&] { return waiting >= 15; });
   }
-  const int half = socket(AF_INET, SOCK_STREAM, 0);
+  const int partial = socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
   address.sin_port = htons(static_cast<uint16_t>(server.port()));
   inet_pton(AF_INET, "127.0.0.1", &address.sin_addr);
   EXPECT_EQ(
-      connect(half, reinterpret_cast<sockaddr*>(&address), sizeof(address)), 0);
-  EXPECT_EQ(send(half, "POST /wor", 9, MSG_NOSIGNAL), 9);
+      connect(partial, reinterpret_cast<sockaddr*>(&address), sizeof(address)),
+      0);
+  EXPECT_EQ(send(partial, "POST /wor", 9, MSG_NOSIGNAL), 9);
   HttpClient worker(server.address(), 20), probe(server.address(), 20),
       user(server.address(), 20);
   EXPECT_EQ(worker.Post("/worker", "x").status, 200);
   EXPECT_EQ(probe.Get("/up").status, 200);
-  // The users' share is in use: one more is told so at once.
+  // The users' share is in use, so that the server refuses one more at once.
   EXPECT_EQ(user.Get("/slow").status, 503);
   {
     std::lock_guard lock(mutex);
@@ -195,12 +202,13 @@
     changed.notify_all();
   }
   for (std::thread& thread : users) thread.join();
-  close(half);
+  close(partial);
 }
 
-// A zone that was cut off comes back while its old connections still count.
-TEST(HttpServer, StaleWorkerConnectionMakesRoomForANewOne) {
-  LocalServer server(Echo, 8, 1, 8, /*stale_s=*/0);
+// Workers of a zone that was cut off reconnect while their stale connections
+// still count towards the limit.
+TEST(HttpServer, ReplacesAStaleWorkerConnection) {
+  LocalServer server(EchoRequest, 8, 1, 8, /*stale_s=*/0);
   HttpClient old_one(server.address(), 20), new_one(server.address(), 20);
   EXPECT_EQ(old_one.Post("/worker", "x").status, 200);
   EXPECT_EQ(new_one.Post("/worker", "x").status, 200);
@@ -213,15 +221,15 @@
   EXPECT_TRUE(answer.not_sent);
 }
 
-TEST(StateClient, DerivesOutcomeAndRefusalFromTheAnswer) {
+TEST(StateClient, DerivesOutcomeAndRefusalFromTheResponse) {
   int status = 200;
   std::string body = R"({"epoch":7})";
   LocalServer server([&](const HttpRequest&) {
     return HttpReply{status, body};
   });
   StateClient client(server.address(), 2);
-  const auto outcome = [&](int with, const std::string& text) {
-    status = with;
+  const auto outcome = [&](int response_status, const std::string& text) {
+    status = response_status;
     body = text;
     return client.Transact({}).outcome;
   };
@@ -230,10 +238,11 @@
   EXPECT_EQ(outcome(429, ""), Outcome::kRefused);
   EXPECT_EQ(outcome(503, ""), Outcome::kRefused);
   EXPECT_EQ(outcome(500, ""), Outcome::kUnknown);
-  // Only what changes something tells of the limits on changes; a lease that
-  // has ended gets 400 as well.
-  const auto refusal = [&](int with, const StateTransaction& transaction) {
-    status = with;
+  // Only refused mutations reveal the limits on mutations. A status of 400 may
+  // also mean that the lease has expired.
+  const auto refusal = [&](int response_status,
+                           const StateTransaction& transaction) {
+    status = response_status;
     return client.Transact(transaction).refusal;
   };
   StateTransaction change, leased;
@@ -244,7 +253,7 @@
   EXPECT_EQ(refusal(503, change), StateRefusal::kNone);
   EXPECT_EQ(refusal(400, leased), StateRefusal::kNone);
   EXPECT_EQ(refusal(429, {}), StateRefusal::kNone);
-  // An answer that can't be read says nothing about what was done.
+  // After a malformed response it is unknown whether the request was applied.
   EXPECT_EQ(outcome(200, "rubbish"), Outcome::kUnknown);
 }
 
@@ -296,24 +305,25 @@
   EXPECT_EQ(client.Provision({}).outcome, Outcome::kRefused);
 }
 
-// What was decided before a stop of the process is not sent after it.
-TEST(CloudClient, SendsNothingAfterTheActionsTime) {
-  std::atomic<int> asked{0};
+// A request that was decided before a pause of the process is not sent after
+// it.
+TEST(CloudClient, SendsNothingAfterTheDeadline) {
+  std::atomic<int> request_count{0};
   LocalServer server([&](const HttpRequest&) {
-    ++asked;
+    ++request_count;
     return HttpReply{200, R"({"perches":["n-1"]})"};
   });
   CloudClient client(server.address(), 2);
   ReleaseMachines release;
   release.machines = {"n-1"};
   EXPECT_EQ(client.Release(release).outcome, Outcome::kOk);
-  EXPECT_EQ(asked, 1);
-  ProvisionMachines rent;
-  rent.not_after = release.not_after = 0;  // long past
+  EXPECT_EQ(request_count, 1);
+  ProvisionMachines provision;
+  provision.not_after = release.not_after = 0;  // in the past
   EXPECT_TRUE(client.Release(release).too_late);
-  EXPECT_TRUE(client.Provision(rent).too_late);
-  EXPECT_EQ(client.Provision(rent).outcome, Outcome::kRefused);
-  EXPECT_EQ(asked, 1);
+  EXPECT_TRUE(client.Provision(provision).too_late);
+  EXPECT_EQ(client.Provision(provision).outcome, Outcome::kRefused);
+  EXPECT_EQ(request_count, 1);
 }
 
 }  // namespace
--- a/tests/core_test.cc
+++ b/tests/core_test.cc
@@ -1,4 +1,4 @@
-// The parts of the core, each by itself.
+// Unit tests of the core's components and of the settings.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -17,24 +17,24 @@
 namespace sorrelwood {
 namespace {
 
-TEST(IntervalSet, AgreesWithAPlainSet) {
+TEST(IntervalSet, MatchesAReferenceSet) {
   std::mt19937_64 rng(7);
-  IntervalSet ranges;
-  std::set<uint32_t> plain;
+  IntervalSet intervals;
+  std::set<uint32_t> reference;
   for (int step = 0; step < 3000; ++step) {
     const uint32_t begin = rng() % 60, end = begin + rng() % 10;
     const bool add = rng() % 2;
-    add ? ranges.Add(begin, end) : ranges.Remove(begin, end);
+    add ? intervals.Add(begin, end) : intervals.Remove(begin, end);
     for (uint32_t n = begin; n < end; ++n)
-      add ? (void)plain.insert(n) : (void)plain.erase(n);
-    ASSERT_EQ(ranges.size(), plain.size());
+      add ? (void)reference.insert(n) : (void)reference.erase(n);
+    ASSERT_EQ(intervals.size(), reference.size());
     for (uint32_t n = 0; n < 72; ++n)
-      ASSERT_EQ(ranges.Contains(n), plain.count(n) > 0) << n;
+      ASSERT_EQ(intervals.Contains(n), reference.count(n) > 0) << n;
   }
 }
 
-TEST(Progress, BitsSurvive) {
-  IntervalSet done, back;
+TEST(Progress, CompletionBitsRoundTrip) {
+  IntervalSet done, decoded;
   done.Add(0);
   done.Add(5, 9);
   done.Add(16383, 16390);
@@ -42,18 +42,20 @@
   for (uint32_t begin = 0; begin < 40000; begin += kTasksPerCompletionRecord) {
     const uint32_t end = std::min(begin + kTasksPerCompletionRecord, 40000u);
     DecodeCompletionBits(EncodeCompletionBits(done, begin, end), begin, 40000,
-                         &back);
+                         &decoded);
   }
-  EXPECT_EQ(back.ranges(), done.ranges());
-  // The largest array stays under the state service's 8 KiB a value.
+  EXPECT_EQ(decoded.ranges(), done.ranges());
+  // A record of the largest array stays below the state service's limit of 8
+  // KiB per value.
   EXPECT_LE(
       EncodeCompletionBits(IntervalSet(0, 100000), 0, kTasksPerCompletionRecord)
           .size(),
       4096u);
 }
 
-std::shared_ptr<LiveJob> NewJob(const std::string& id, const std::string& team,
-                                Priority priority, uint32_t tasks, double at) {
+std::shared_ptr<LiveJob> MakeJob(const std::string& id, const std::string& team,
+                                 Priority priority, uint32_t tasks,
+                                 double submitted_s) {
   auto job = std::make_shared<LiveJob>();
   job->spec.id = id;
   job->spec.team = team;
@@ -61,43 +63,43 @@
   job->spec.tasks = tasks;
   job->spec.cpus = 2;
   job->spec.estimate_s = 10;
-  job->submitted_wall_s = at;
+  job->submitted_wall_s = submitted_s;
   return job;
 }
 
-TEST(Queue, GuaranteedWorkFirstThenPriorityThenArrival) {
+TEST(Queue, OrdersByGuaranteeThenPriorityThenArrival) {
   ClusterSettings settings;
   settings.teams = {{"a", 20, 100, 0, 0}, {"b", 0, 100, 0, 0}};
   JobTable jobs;
-  jobs.Add(NewJob("over", "a", Priority::kStandard, 10, 2), 1, false, 0);
-  jobs.Add(NewJob("within", "a", Priority::kLow, 10, 1), 2, false, 0);
-  jobs.Add(NewJob("high", "b", Priority::kHigh, 1, 4), 3, false, 0);
+  jobs.Add(MakeJob("over", "a", Priority::kStandard, 10, 2), 1, false, 0);
+  jobs.Add(MakeJob("within", "a", Priority::kLow, 10, 1), 2, false, 0);
+  jobs.Add(MakeJob("high", "b", Priority::kHigh, 1, 4), 3, false, 0);
   jobs.Rank(settings, 5);
   std::vector<std::string> order;
   for (const Job* job : jobs.queue()) order.push_back(job->id());
   EXPECT_EQ(order, (std::vector<std::string>{"within", "high", "over"}));
 }
 
-TEST(Queue, SmallerJobsFirstWithinATeam) {
+TEST(Queue, PutsSmallerJobsFirstWithinATeam) {
   ClusterSettings settings;
   settings.teams = {{"a", 0, 100, 0, 0}};
   JobTable jobs;
-  jobs.Add(NewJob("large", "a", Priority::kLow, 40, 0), 1, false, 0);
-  jobs.Add(NewJob("small", "a", Priority::kLow, 4, 1), 2, false, 0);
-  jobs.Add(NewJob("as_small", "a", Priority::kLow, 5, 2), 3, false, 0);
+  jobs.Add(MakeJob("large", "a", Priority::kLow, 40, 0), 1, false, 0);
+  jobs.Add(MakeJob("small", "a", Priority::kLow, 4, 1), 2, false, 0);
+  jobs.Add(MakeJob("as_small", "a", Priority::kLow, 5, 2), 3, false, 0);
   jobs.Rank(settings, 5);
   std::vector<std::string> order;
   for (const Job* job : jobs.queue()) order.push_back(job->id());
   EXPECT_EQ(order, (std::vector<std::string>{"small", "as_small", "large"}));
 }
 
-TEST(Queue, WhatCanStillMeetItsDeadlineGoesFirst) {
+TEST(Queue, PutsJobsThatCanMeetTheirDeadlineFirst) {
   ClusterSettings settings;
   settings.teams = {{"a", 0, 100, 0, 0}};
   JobTable jobs;
-  auto late = NewJob("late", "a", Priority::kLow, 1, 0);
+  auto late = MakeJob("late", "a", Priority::kLow, 1, 0);
   late->spec.deadline_s = 50;
-  auto fresh = NewJob("fresh", "a", Priority::kLow, 1, 40);
+  auto fresh = MakeJob("fresh", "a", Priority::kLow, 1, 40);
   fresh->spec.deadline_s = 50;
   jobs.Add(late, 1, false, 0);
   jobs.Add(fresh, 2, false, 0);
@@ -107,13 +109,13 @@
   EXPECT_EQ(jobs.queue()[0]->id(), "late");
 }
 
-TEST(Queue, AnObjectiveThatIsMissedCountsLikeADeadline) {
+TEST(Queue, TreatsAMissedObjectiveLikeADeadline) {
   ClusterSettings settings;
   settings.teams = {{"a", 0, 100, 0, 0}};
   settings.objectives = {{"wait", "slow", 30}};
   JobTable jobs;
-  auto old = NewJob("old", "a", Priority::kLow, 1, 0);
-  auto fresh = NewJob("fresh", "a", Priority::kLow, 1, 20);
+  auto old = MakeJob("old", "a", Priority::kLow, 1, 0);
+  auto fresh = MakeJob("fresh", "a", Priority::kLow, 1, 20);
   old->spec.job_class = fresh->spec.job_class = "slow";
   jobs.Add(old, 1, false, 0);
   jobs.Add(fresh, 2, false, 0);
@@ -121,20 +123,20 @@
   EXPECT_EQ(jobs.queue()[0]->id(), "old");
   jobs.Rank(settings, 35);
   EXPECT_EQ(jobs.queue()[0]->id(), "fresh");
-  // It does not wait for ever.
+  // The job of the missed objective does not starve.
   jobs.Rank(settings, 950);
   EXPECT_EQ(jobs.queue()[0]->id(), "old");
 }
 
-TEST(Estimates, FollowWhatIsSeen) {
+TEST(Estimates, FollowObservedRunTimes) {
   JobTable jobs;
-  const auto job = NewJob("j", "a", Priority::kLow, 1, 0);
+  const auto job = MakeJob("j", "a", Priority::kLow, 1, 0);
   EXPECT_DOUBLE_EQ(jobs.EstimateRunTime(job->spec), 10);
   for (int i = 0; i < 500; ++i) jobs.LearnRunTime(job->spec, 20);
   EXPECT_NEAR(jobs.EstimateRunTime(job->spec), 20, 0.5);
 }
 
-TEST(Predictor, LearnsAKnownAnswer) {
+TEST(Predictor, LearnsAKnownFunction) {
   PolicySettings policy;
   policy.wait_limit_s = 60;
   std::mt19937_64 rng(5);
@@ -143,7 +145,7 @@
     features.cpu_utilisation = static_cast<double>(rng() % 100) / 100;
     features.waiting = static_cast<double>(rng() % 50);
     features.cpus = static_cast<double>(rng() % 8);
-    // Long waits exactly when the owned room is full and the queue is long.
+    // Waits are long exactly when utilisation is high and the queue is long.
     return features.cpu_utilisation > 0.8 && features.waiting > 20 ? 120.0
                                                                    : 5.0;
   };
@@ -153,7 +155,7 @@
     for (int i = 0; i < 800; ++i) {
       const double wait = draw();
       predictor.Learn(ToVector(features), wait);
-      // Waits that have nothing to do with the features can't be predicted.
+      // Waits that are independent of the features can't be predicted.
       noise.Learn(ToVector(features), rng() % 2 ? 120 : 5);
     }
     predictor.Fit();
@@ -195,23 +197,23 @@
     "cloud":{"rps":4.0,"list_lag_s":5.0},
     "machine_limits":{"cpu_share":0.12,"ram_mb":72.0,"sockets":1000}}})";
 
-// Parses text that must be good.
-ClusterSettings Parsed(const std::string& text) {
+// Parses settings that must be valid.
+ClusterSettings ParseValid(const std::string& text) {
   const auto settings = ParseClusterSettings(text);
   if (settings) return *settings;
   ADD_FAILURE() << settings.error().Message();
   return ClusterSettings();
 }
 
-// The message of the error that text must lead to.
+// Returns the message of a result that must be an error.
 template <typename Settings>
-std::string ErrorOf(const SettingsResult<Settings>& result) {
+std::string GetErrorMessage(const SettingsResult<Settings>& result) {
   EXPECT_FALSE(result.has_value());
   return result ? std::string() : result.error().Message();
 }
 
-TEST(Settings, AreReadAndUnknownFieldsIgnored) {
-  ClusterSettings settings = Parsed(kSettings);
+TEST(Settings, AreParsedAndUnknownFieldsIgnored) {
+  ClusterSettings settings = ParseValid(kSettings);
   EXPECT_EQ(settings.node, "perch-0");
   EXPECT_EQ(settings.peers.size(), 1u);
   EXPECT_EQ(settings.state_max_mutations_per_transaction, 16);
@@ -219,35 +221,36 @@
   EXPECT_EQ(settings.objectives[0].job_class, "fast");
 }
 
-// The limits that are coming, if any are; what they don't name stays.
-TEST(Settings, LimitsOfTheStateServiceThatAreComing) {
-  ClusterSettings settings = Parsed(kSettings);
+// Announced limits are optional; a limit that is not named stays unchanged.
+TEST(Settings, AnnouncedStateServiceLimits) {
+  ClusterSettings settings = ParseValid(kSettings);
   EXPECT_FALSE(settings.next_state_limits.has_value());
-  const auto with = [&](const std::string& next) {
+  const auto parse_with_next = [&](const std::string& next) {
     std::string text = kSettings;
     const std::string mutations = "\"txn_ops\":16";
     text.replace(text.find(mutations), mutations.size(),
                  mutations + ",\"next\":" + next);
     return ParseClusterSettings(text);
   };
-  auto with_all = with(R"({"write_rps":42.0,"value_kb":2.0,"txn_ops":5})");
+  auto with_all =
+      parse_with_next(R"({"write_rps":42.0,"value_kb":2.0,"txn_ops":5})");
   ASSERT_TRUE(with_all);
   settings = *with_all;
   EXPECT_DOUBLE_EQ(settings.next_state_limits->mutations_per_s, 42);
   EXPECT_DOUBLE_EQ(settings.next_state_limits->max_value_kib, 2);
   EXPECT_EQ(settings.next_state_limits->max_mutations_per_transaction, 5);
-  auto with_one = with(R"({"value_kb":2.0})");
+  auto with_one = parse_with_next(R"({"value_kb":2.0})");
   ASSERT_TRUE(with_one);
   settings = *with_one;
   EXPECT_DOUBLE_EQ(settings.next_state_limits->mutations_per_s, 60);
   EXPECT_EQ(settings.next_state_limits->max_mutations_per_transaction, 16);
-  std::string error = ErrorOf(with(R"({"txn_ops":1})"));
+  std::string error = GetErrorMessage(parse_with_next(R"({"txn_ops":1})"));
   EXPECT_EQ(error.find("cluster.state.next.txn_ops"), 0u) << error;
-  error = ErrorOf(with("7"));
+  error = GetErrorMessage(parse_with_next("7"));
   EXPECT_EQ(error.find("cluster.state.next"), 0u) << error;
 }
 
-TEST(Settings, SayWhichFieldIsWrong) {
+TEST(Settings, ErrorsNameTheField) {
   const std::pair<const char*, const char*> cases[] = {
       {"\"10.0.0.1:8080\"", "serve_on"},
       {"\"10.2.0.1:2379\"", "outside.state"},
@@ -256,14 +259,14 @@
   for (const auto& [text, field] : cases) {
     std::string bad = kSettings;
     bad.replace(bad.find(text), std::string(text).size(), "false");
-    const std::string error = ErrorOf(ParseClusterSettings(bad));
+    const std::string error = GetErrorMessage(ParseClusterSettings(bad));
     EXPECT_EQ(error.find(field), 0u) << error;
   }
 }
 
-// A guest team: 0 or a missing field is no guarantee and no limit. What the
-// service can do without keeps it from nothing.
-TEST(Settings, NoneAndWhatCanBeLeftOut) {
+// In a team 0 or a missing field means no guarantee and no limit. An invalid
+// objective is ignored, since the service can run without it.
+TEST(Settings, OptionalFieldsAndInvalidObjectives) {
   std::string text = kSettings;
   const std::string team = "{\"name\":\"t\",\"cpus\":4.0,\"cpus_max\":8.0}";
   text.replace(text.find(team), team.size(),
@@ -271,7 +274,7 @@
                "{\"name\":\"zero\",\"cpus\":0.0,\"cpus_max\":0.0},"
                "{\"name\":\"missing\"}");
   text.replace(text.find("\"wait\""), 6, "17");
-  const ClusterSettings settings = Parsed(text);
+  const ClusterSettings settings = ParseValid(text);
   ASSERT_EQ(settings.teams.size(), 3u);
   EXPECT_EQ(settings.teams[0].cpus_max, 8);
   for (size_t i : {1u, 2u}) {
@@ -284,14 +287,14 @@
             0u);
 }
 
-// Sockets bound the connections, memory the threads: with both of a large
-// deployment, with those of the least machine, and with too little.
+// Sockets limit the connections and memory limits the threads: with the limits
+// of a large deployment, of the smallest machine, and with too little memory.
 TEST(Settings, ConnectionsFitSocketsAndThreadsFitMemory) {
-  ClusterSettings settings = Parsed(kSettings);
+  ClusterSettings settings = ParseValid(kSettings);
   EXPECT_EQ(MaxConnections(settings), 900u);
   settings.socket_limit = 3034;
   settings.memory_limit_mib = 188;
-  // Half as many again as the deployment's thousand machines report here.
+  // Allows 1.5 times the thousand machines of the deployment.
   EXPECT_GT(MaxConnections(settings) * kWorkerConnectionShare, 1500);
   EXPECT_EQ(MaxRequestThreads(settings),
             static_cast<size_t>(kMaxRequestThreads));
@@ -301,12 +304,12 @@
             (kMaxWaitingPolls + kMaxWaitingChanges) / kUserThreadShare);
   std::string small = kSettings;
   small.replace(small.find("72.0"), 4, "20.0");
-  const std::string error = ErrorOf(ParseClusterSettings(small));
+  const std::string error = GetErrorMessage(ParseClusterSettings(small));
   EXPECT_EQ(error.find("cluster.machine_limits.ram_mb: is too little"), 0u)
       << error;
 }
 
-// Each field of the file sets its own member; those that are not named keep
+// Each field of the file sets its own member; members without a field keep
 // their defaults.
 TEST(OperatorSettings, EachFieldSetsItsMember) {
   const auto policy = ParseOperatorSettings(R"(
@@ -348,28 +351,31 @@
   EXPECT_TRUE(defaults->use_spot);
 }
 
-// One line names the file, the field and the reason.
-TEST(Settings, AnErrorNamesTheFile) {
-  EXPECT_EQ(ErrorOf(LoadClusterSettings("/no/such.json")),
+// An error is one line with the file, the field and the reason.
+TEST(Settings, ErrorsNameTheFile) {
+  EXPECT_EQ(GetErrorMessage(LoadClusterSettings("/no/such.json")),
             "/no/such.json: can't be read");
-  EXPECT_EQ(ErrorOf(ParseClusterSettings("[]")), "not a JSON object");
+  EXPECT_EQ(GetErrorMessage(ParseClusterSettings("[]")), "not a JSON object");
   const std::string path = testing::TempDir() + "sorrelwood_operator_settings";
   std::ofstream(path) << "fleet { hold_s: -5 }";
-  EXPECT_EQ(ErrorOf(LoadOperatorSettings(path)),
+  EXPECT_EQ(GetErrorMessage(LoadOperatorSettings(path)),
             path + ": fleet.hold_s: must be from 0 to 1e+07");
   std::ofstream(path) << "fleet {\n  hold: 5 }";
-  EXPECT_EQ(ErrorOf(LoadOperatorSettings(path)).find(path + ": line 2, "), 0u);
+  EXPECT_EQ(
+      GetErrorMessage(LoadOperatorSettings(path)).find(path + ": line 2, "),
+      0u);
   std::filesystem::remove(path);
 }
 
-TEST(OperatorSettings, AreCheckedAndUnknownFieldsRefused) {
+TEST(OperatorSettings, RefuseInvalidValuesAndUnknownFields) {
   const auto policy = ParseOperatorSettings(
       "waiting_policy { speculation_s: 60 } fleet { hold_s: 5 }");
   ASSERT_TRUE(policy);
   EXPECT_DOUBLE_EQ(policy->speculation_limit_s, 60);
-  std::string error = ErrorOf(ParseOperatorSettings("fleet { hold: 5 }"));
+  std::string error =
+      GetErrorMessage(ParseOperatorSettings("fleet { hold: 5 }"));
   EXPECT_NE(error.find("hold"), std::string::npos) << error;
-  error = ErrorOf(ParseOperatorSettings("fleet { hold_s: -5 }"));
+  error = GetErrorMessage(ParseOperatorSettings("fleet { hold_s: -5 }"));
   EXPECT_EQ(error.find("fleet.hold_s"), 0u) << error;
 }
 
--- a/tests/protocol_test.cc
+++ b/tests/protocol_test.cc
@@ -1,5 +1,5 @@
-// The published protocol's JSON: the bytes that are written, what is read, and
-// what is refused with which error.
+// Tests the JSON of the published protocol: the encoded bytes, the parsed
+// fields, and the errors for invalid messages.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -24,24 +24,26 @@
         "one_zone":true,"scatter":false,"loaners":true,"expected_s":240.0,
         "bookmark_s":30.0,"stash_s":4.0,"due_s":900.0,"unknown":{"a":1}})";
 
-// Returns kSubmission with another value of one field.
-std::string SubmissionWith(const std::string& field, const std::string& value) {
+// Returns kSubmission with a different value of one field.
+std::string MakeSubmissionWith(const std::string& field,
+                               const std::string& value) {
   std::string text = kSubmission;
-  const size_t at = text.find("\"" + field + "\":");
-  const size_t from = at + field.size() + 3;
-  size_t depth = 0, to = from;
-  for (; to < text.size(); ++to) {
-    if (text[to] == '[' || text[to] == '{') ++depth;
-    if (text[to] == ']' || (text[to] == '}' && depth > 0)) --depth;
-    if (depth == 0 && (text[to] == ',' || text[to] == '}') &&
-        text[to - 1] != ']')
+  const size_t field_begin = text.find("\"" + field + "\":");
+  const size_t value_begin = field_begin + field.size() + 3;
+  size_t depth = 0, value_end = value_begin;
+  for (; value_end < text.size(); ++value_end) {
+    if (text[value_end] == '[' || text[value_end] == '{') ++depth;
+    if (text[value_end] == ']' || (text[value_end] == '}' && depth > 0))
+      --depth;
+    if (depth == 0 && (text[value_end] == ',' || text[value_end] == '}') &&
+        text[value_end - 1] != ']')
       break;
-    if (depth == 0 && text[to] == ']') {
-      ++to;
+    if (depth == 0 && text[value_end] == ']') {
+      ++value_end;
       break;
     }
   }
-  return text.substr(0, from) + value + text.substr(to);
+  return text.substr(0, value_begin) + value + text.substr(value_end);
 }
 
 TEST(ClientCodec, ReadsEveryFieldOfASubmission) {
@@ -58,7 +60,7 @@
   EXPECT_DOUBLE_EQ(*spec->deadline_s, 900);
 }
 
-TEST(ClientCodec, ErrorNamesTheFieldThatIsWrong) {
+TEST(ClientCodec, ErrorsNameTheField) {
   const std::pair<const char*, const char*> bad[] = {
       {"uid", "\"no-such-form\""},
       {"uid", "7"},
@@ -77,7 +79,8 @@
       {"crew", "\"\""},
       {"due_s", "\"soon\""}};
   for (const auto& [field, value] : bad) {
-    const auto spec = protocol::ParseSubmission(SubmissionWith(field, value));
+    const auto spec =
+        protocol::ParseSubmission(MakeSubmissionWith(field, value));
     ASSERT_FALSE(spec) << field << " " << value;
     const std::string message = spec.error().Message();
     EXPECT_NE(message.find(field), std::string::npos) << message;
@@ -92,15 +95,15 @@
         "parts",   "cores",      "cards",      "memory_gb", "bundle",
         "size_gb", "builds",     "room",       "one_zone",  "scatter",
         "loaners", "expected_s", "bookmark_s", "stash_s",   "due_s"}) {
-    std::string body = kSubmission;  // the same field under another name
+    std::string body = kSubmission;  // the field renamed
     body.replace(body.find("\"" + std::string(field) + "\":") + 1,
                  std::string(field).size(), "other");
     EXPECT_EQ(protocol::ParseSubmission(body).has_value(),
               nullable.count(field) > 0)
         << field;
-    EXPECT_EQ(
-        protocol::ParseSubmission(SubmissionWith(field, "null")).has_value(),
-        nullable.count(field) > 0)
+    EXPECT_EQ(protocol::ParseSubmission(MakeSubmissionWith(field, "null"))
+                  .has_value(),
+              nullable.count(field) > 0)
         << field;
   }
 }
@@ -114,7 +117,7 @@
   }
 }
 
-TEST(ClientCodec, ErrorMessageIsTheTextThatUsersGet) {
+TEST(ClientCodec, ErrorMessagesAreExact) {
   const std::tuple<std::string, std::string, std::string> cases[] = {
       {"shape", "\"ring\"", "shape must be sweep or daemon"},
       {"urgency", "\"asap\"", "urgency must be prod, high, standard or low"},
@@ -123,7 +126,8 @@
       {"crew", "null", "crew is missing"},
       {"builds", "[]", "builds must be null or name a machine type"}};
   for (const auto& [field, value, message] : cases) {
-    const auto spec = protocol::ParseSubmission(SubmissionWith(field, value));
+    const auto spec =
+        protocol::ParseSubmission(MakeSubmissionWith(field, value));
     ASSERT_FALSE(spec) << message;
     EXPECT_EQ(spec.error().Message(), message);
   }
@@ -189,7 +193,7 @@
   }
 }
 
-TEST(WorkerCodec, ResponseHoldsTokenAndCommandsOrTheNodeToAsk) {
+TEST(WorkerCodec, ResponseHasTokenAndCommandsOrARedirect) {
   HeartbeatResponse answer;
   answer.fencing_token = 41;
   answer.commands = {{CommandKind::kStart, "job-1", 4, 2, 0},
@@ -304,7 +308,8 @@
   ASSERT_TRUE(types) << types.error().Message();
   ASSERT_EQ(types->size(), 1u);
   EXPECT_DOUBLE_EQ((*types)[0].gpus, 8);
-  EXPECT_DOUBLE_EQ((*types)[0].spot_price, 12);  // the price, if it is absent
+  // Without a spot price the regular price applies.
+  EXPECT_DOUBLE_EQ((*types)[0].spot_price, 12);
   EXPECT_EQ((*types)[0].zones.size(), 2u);
   const auto names = protocol::ParseMachineNames(R"({"perches":["n-1"]})");
   ASSERT_TRUE(names);
--- a/tests/server_test.cc
+++ b/tests/server_test.cc
@@ -1,5 +1,5 @@
-// The queues between threads, the limits of connections and the HTTP routes,
-// each by itself.
+// Unit tests of the queues between threads, the connection limits and the HTTP
+// routes.
 #include <gtest/gtest.h>
 #include <sys/socket.h>
 
@@ -21,22 +21,22 @@
 namespace sorrelwood {
 namespace {
 
-// An input that appends `name` to `order`.
-Input Recorder(std::vector<std::string>* order, const std::string& name) {
+// Returns an input that appends `name` to `order`.
+Input MakeRecorder(std::vector<std::string>* order, const std::string& name) {
   return [order, name](Controller&, Controller::Time) {
     order->push_back(name);
     return Actions();
   };
 }
 
-TEST(InputQueue, TakesUsersAfterAllOthers) {
+TEST(InputQueue, TakesUserInputsLast) {
   Controller controller(ClusterSettings(), PolicySettings(), 1);
   InputQueue queue(10);
   std::vector<std::string> order;
-  queue.Push(Recorder(&order, "user 1"), InputPriority::kUser);
-  queue.Push(Recorder(&order, "user 2"), InputPriority::kUser);
-  queue.Push(Recorder(&order, "system 1"), InputPriority::kSystem);
-  queue.Push(Recorder(&order, "system 2"), InputPriority::kSystem);
+  queue.Push(MakeRecorder(&order, "user 1"), InputPriority::kUser);
+  queue.Push(MakeRecorder(&order, "user 2"), InputPriority::kUser);
+  queue.Push(MakeRecorder(&order, "system 1"), InputPriority::kSystem);
+  queue.Push(MakeRecorder(&order, "system 2"), InputPriority::kSystem);
   while (const Input input = queue.Pop(SteadyNow())) input(controller, {});
   EXPECT_EQ(order, (std::vector<std::string>{"system 1", "system 2", "user 1",
                                              "user 2"}));
@@ -45,10 +45,10 @@
 TEST(InputQueue, IsOverloadedBeyondItsLimit) {
   std::vector<std::string> order;
   InputQueue queue(2);
-  queue.Push(Recorder(&order, "a"), InputPriority::kUser);
-  queue.Push(Recorder(&order, "b"), InputPriority::kSystem);
+  queue.Push(MakeRecorder(&order, "a"), InputPriority::kUser);
+  queue.Push(MakeRecorder(&order, "b"), InputPriority::kSystem);
   EXPECT_FALSE(queue.IsOverloaded());
-  queue.Push(Recorder(&order, "c"), InputPriority::kSystem);
+  queue.Push(MakeRecorder(&order, "c"), InputPriority::kSystem);
   EXPECT_TRUE(queue.IsOverloaded());
   EXPECT_TRUE(queue.Pop(SteadyNow()));
   EXPECT_FALSE(queue.IsOverloaded());
@@ -66,7 +66,7 @@
   InputQueue queue(2);
   std::thread pusher([&] {
     std::this_thread::sleep_for(std::chrono::milliseconds(20));
-    queue.Push(Recorder(&order, "a"), InputPriority::kUser);
+    queue.Push(MakeRecorder(&order, "a"), InputPriority::kUser);
   });
   EXPECT_TRUE(queue.Pop(SteadyNow() + 20));
   pusher.join();
@@ -97,12 +97,12 @@
   EXPECT_FALSE(responses.Wait(request, 0.01));
 }
 
-// A socket that is open but never used.
-FileDescriptor NewSocket() {
+// Opens a socket that is never connected.
+FileDescriptor OpenSocket() {
   return FileDescriptor(socket(AF_INET, SOCK_STREAM, 0));
 }
 
-ConnectionLimits TestLimits() {
+ConnectionLimits MakeLimits() {
   ConnectionLimits limits;
   limits.total = 3;
   limits.workers = 1;
@@ -114,19 +114,19 @@
 }
 
 TEST(ConnectionTable, RefusesConnectionsBeyondTheTotal) {
-  ConnectionTable table(TestLimits());
-  Connection* first = table.Open(NewSocket());
+  ConnectionTable table(MakeLimits());
+  Connection* first = table.Open(OpenSocket());
   EXPECT_TRUE(first);
-  EXPECT_TRUE(table.Open(NewSocket()));
-  EXPECT_TRUE(table.Open(NewSocket()));
-  EXPECT_FALSE(table.Open(NewSocket()));
+  EXPECT_TRUE(table.Open(OpenSocket()));
+  EXPECT_TRUE(table.Open(OpenSocket()));
+  EXPECT_FALSE(table.Open(OpenSocket()));
   table.Close(first);
-  EXPECT_TRUE(table.Open(NewSocket()));
+  EXPECT_TRUE(table.Open(OpenSocket()));
 }
 
-TEST(ConnectionTable, OnlyAStaleWorkerMakesRoom) {
-  ConnectionTable table(TestLimits());
-  Connection* worker = table.Open(NewSocket());
+TEST(ConnectionTable, ClosesOnlyStaleWorkersToMakeRoom) {
+  ConnectionTable table(MakeLimits());
+  Connection* worker = table.Open(OpenSocket());
   EXPECT_TRUE(table.MakeRoom(ClientKind::kWorker, 0));
   table.Classify(worker, ClientKind::kWorker);
   table.StartWaiting(worker, 0);
@@ -138,10 +138,10 @@
   EXPECT_FALSE(table.FindWaiting(socket));
 }
 
-TEST(ConnectionTable, ClosesConnectionsThatWaitTooLong) {
-  ConnectionTable table(TestLimits());
-  Connection* silent = table.Open(NewSocket());
-  Connection* worker = table.Open(NewSocket());
+TEST(ConnectionTable, ClosesIdleConnections) {
+  ConnectionTable table(MakeLimits());
+  Connection* silent = table.Open(OpenSocket());
+  Connection* worker = table.Open(OpenSocket());
   const int silent_socket = silent->socket.get();
   const int worker_socket = worker->socket.get();
   table.Classify(worker, ClientKind::kWorker);
@@ -154,8 +154,8 @@
   EXPECT_FALSE(table.FindWaiting(worker_socket));
 }
 
-// Of 20 threads users have 15 and workers 3.
-TEST(RequestQueue, EachKindHasItsShareOfThreads) {
+// Of 20 threads users may hold 15 and workers 3.
+TEST(RequestQueue, EachClientKindHasAShareOfThreads) {
   std::vector<Connection> users(16), workers(4);
   RequestQueue queue(20);
   for (Connection& user : users) {
@@ -177,7 +177,8 @@
   EXPECT_EQ(queue.size(), 0u);
 }
 
-// Routes whose core answers every request with status 200 and an empty body.
+// Provides routes with a core that answers every request with status 200 and an
+// empty body.
 class RoutesTest : public testing::Test {
  protected:
   RoutesTest() : core_([this] { RunCore(); }) {}
@@ -196,12 +197,12 @@
     while (!stopping_) {
       const Input input = inputs_.Pop(SteadyNow() + 0.01);
       if (!input) continue;
-      responses_.Complete(++answered_, {200, "", 0});
+      responses_.Complete(++last_answered_, {200, "", 0});
     }
   }
 
   std::atomic<bool> stopping_{false};
-  uint64_t answered_ = 0;
+  uint64_t last_answered_ = 0;
   InputQueue inputs_{10};
   PendingResponses responses_;
   Metrics metrics_;
@@ -213,7 +214,7 @@
   std::thread core_;
 };
 
-TEST_F(RoutesTest, KnowPathsAndMethods) {
+TEST_F(RoutesTest, CheckPathsAndMethods) {
   EXPECT_EQ(StatusOf("GET", "/submissions/a"), 200);
   EXPECT_EQ(StatusOf("POST", "/submissions/a/cancel"), 200);
   EXPECT_EQ(StatusOf("GET", "/submissions/cancel"), 200);
@@ -227,7 +228,7 @@
   EXPECT_EQ(StatusOf("GET", "/"), 404);
 }
 
-TEST_F(RoutesTest, TellProbesHowItIs) {
+TEST_F(RoutesTest, ReportHealthToProbes) {
   EXPECT_EQ(StatusOf("GET", "/up"), 200);
   routes_.set_healthy(false);
   EXPECT_EQ(StatusOf("GET", "/up"), 503);
@@ -237,21 +238,21 @@
   EXPECT_EQ(ClassifyClient("/submissions"), ClientKind::kUser);
 }
 
-// Polls can be repeated; what changes something is still taken.
-TEST(Routes, TurnPollsAwayWhenTooManyInputsWait) {
+// Clients can repeat polls, so that only polls are refused under load.
+TEST(Routes, RefusePollsWhenTheInputQueueIsOverloaded) {
   InputQueue inputs(0);
   PendingResponses responses;
   Metrics metrics;
   HttpRoutes routes(&inputs, &responses, &metrics);
   std::vector<std::string> order;
-  inputs.Push(Recorder(&order, "a"), InputPriority::kSystem);
+  inputs.Push(MakeRecorder(&order, "a"), InputPriority::kSystem);
   const HttpReply reply = routes.Handle({"GET", "/submissions/a", ""});
   EXPECT_EQ(reply.status, 429);
   EXPECT_EQ(reply.retry_after_s, 2);
 }
 
-// The core does not answer in time.
-TEST(Routes, SayThatTheControllerIsBusy) {
+// No core runs, so that no response arrives in time.
+TEST(Routes, AnswerUnavailableWhenTheCoreIsBusy) {
   InputQueue inputs(10);
   PendingResponses responses;
   Metrics metrics;
