--- a/tests/digest_measurement.cc
+++ b/tests/digest_measurement.cc
@@ -1,7 +1,7 @@
-// Plays seeded runs of the simulated cluster and prints, for each, a digest of
-// everything that its cores asked for, and their log lines by level with a
-// digest of the texts. tests/compare_digests.sh compares two commits by it: a
-// mechanical change leaves all but the texts as they were. No part of the
+// Executes seeded runs of the simulated cluster and prints for each a digest of
+// all actions of its cores, the number of log lines by level, and a digest of
+// the log texts. tests/compare_digests.sh compares two commits with it: a
+// mechanical change may change only the digest of the texts. Not part of the
 // tests, since the values may differ between processors.
 #include <CLI/CLI.hpp>
 #include <algorithm>
@@ -23,7 +23,7 @@
 constexpr uint64_t kSeedsPerScenario = 2;
 constexpr uint64_t kSeedsWithRebalancing = 1;
 
-// What of load spread is on beside the usual runs of each scenario.
+// Features of load spread that are enabled in a scenario's additional runs.
 enum class Spread { kPlacement, kPlacementAndMoves };
 
 struct DigestRun {
@@ -38,8 +38,8 @@
   size_t violations = 0;
 };
 
-// Scenarios that the seeded tests leave out, or play in tests of their own.
-std::vector<std::pair<std::string, SimulationOptions>> OtherScenarios() {
+// Scenarios that the seeded tests do not run, or run in separate tests.
+std::vector<std::pair<std::string, SimulationOptions>> MakeOtherScenarios() {
   SimulationOptions operator_defaults;
   operator_defaults.jobs = 40;
   operator_defaults.failing_job_share = 0.2;
@@ -47,12 +47,12 @@
       {.at_s = 60, .kind = FaultKind::kLeaderCrash, .restart_s = 3},
       {.at_s = 80, .kind = FaultKind::kMachineFailsTasks}};
 
-  SimulationOptions eager = operator_defaults;
-  eager.policy.speculation_limit_s = 4;
-  eager.policy.wait_limit_s = 5;
-  eager.policy.idle_release_delay_s = 2;
-  eager.policy.backlog_limit_s = 5;
-  eager.policy.predictor_fit_interval_s = 20;
+  SimulationOptions eager_policy = operator_defaults;
+  eager_policy.policy.speculation_limit_s = 4;
+  eager_policy.policy.wait_limit_s = 5;
+  eager_policy.policy.idle_release_delay_s = 2;
+  eager_policy.policy.backlog_limit_s = 5;
+  eager_policy.policy.predictor_fit_interval_s = 20;
 
   SimulationOptions on_demand_only = operator_defaults;
   on_demand_only.policy.use_spot = false;
@@ -83,7 +83,7 @@
       {.at_s = 150, .kind = FaultKind::kLeaderCrash, .restart_s = 0.3}};
 
   return {{"operator_defaults", operator_defaults},
-          {"eager_policy", eager},
+          {"eager_policy", eager_policy},
           {"on_demand_only", on_demand_only},
           {"limits_fall", limits_fall},
           {"idle", idle},
@@ -99,20 +99,20 @@
   }
 }
 
-void AddRebalancingRun(const std::string& name, const SimulationOptions& usual,
+void AddRebalancingRun(const std::string& name, const SimulationOptions& base,
                        Spread spread, std::vector<DigestRun>* runs) {
-  SimulationOptions options = WithRebalancing(usual);
+  SimulationOptions options = WithRebalancing(base);
   options.policy.spread.moves = spread == Spread::kPlacementAndMoves;
   AddSeeds(name + (options.policy.spread.moves ? "+moves" : "+placement"),
            std::move(options), kSeedsWithRebalancing, runs);
 }
 
 // Moves depend on the order of addresses in memory
-// (ImbalanceMeter::MachineGroup), so that runs with them don't repeat
-// themselves; they are played only on request.
-std::vector<DigestRun> AllRuns(bool with_moves) {
+// (ImbalanceMeter::MachineGroup), so that runs with moves are not
+// deterministic; they are executed only on request.
+std::vector<DigestRun> MakeRuns(bool with_moves) {
   std::vector<std::pair<std::string, SimulationOptions>> scenarios =
-      OtherScenarios();
+      MakeOtherScenarios();
   for (const Scenario& scenario : AllScenarios())
     scenarios.emplace_back(scenario.name, scenario.options);
   std::vector<DigestRun> runs;
@@ -125,7 +125,7 @@
   return runs;
 }
 
-DigestResult Play(const DigestRun& run) {
+DigestResult ExecuteRun(const DigestRun& run) {
   SimulatedCluster cluster(run.options);
   cluster.Run();
   DigestResult result;
@@ -136,22 +136,22 @@
   return result;
 }
 
-// The results stand in the order of the runs, whichever ends first.
-std::vector<DigestResult> PlayAll(const std::vector<DigestRun>& runs,
-                                  unsigned threads) {
+// Returns the results in the order of the runs.
+std::vector<DigestResult> ExecuteRuns(const std::vector<DigestRun>& runs,
+                                      unsigned threads) {
   std::vector<DigestResult> results(runs.size());
   std::atomic<size_t> next = 0;
-  const auto play_some = [&] {
+  const auto execute_runs = [&] {
     for (size_t i = next++; i < runs.size(); i = next++)
-      results[i] = Play(runs[i]);
+      results[i] = ExecuteRun(runs[i]);
   };
-  std::vector<std::jthread> players;
-  for (unsigned i = 0; i < threads; ++i) players.emplace_back(play_some);
-  players.clear();  // waits for them
+  std::vector<std::jthread> workers;
+  for (unsigned i = 0; i < threads; ++i) workers.emplace_back(execute_runs);
+  workers.clear();  // joins the threads
   return results;
 }
 
-void Print(const DigestRun& run, const DigestResult& result) {
+void PrintResult(const DigestRun& run, const DigestResult& result) {
   std::printf("%s %" PRIu64 " actions=%016" PRIx64 " log_levels=%" PRIu64
               "/%" PRIu64 "/%" PRIu64 " log_text=%016" PRIx64 "\n",
               run.scenario.c_str(), run.options.seed, result.actions,
@@ -181,16 +181,18 @@
   namespace test = sorrelwood::test;
   unsigned threads = std::max(1U, std::thread::hardware_concurrency());
   CLI::App app("Digests of the actions and log lines of seeded runs");
-  app.add_option("--jobs", threads, "Runs played at the same time")
+  app.add_option("--jobs", threads, "Number of runs executed in parallel")
       ->check(CLI::PositiveNumber);
   bool with_moves = false;
   app.add_flag("--moves", with_moves,
-               "Also plays runs in which load spread moves tasks");
+               "Also execute runs in which load spread moves tasks");
   CLI11_PARSE(app, argc, argv);
 
-  const std::vector<test::DigestRun> runs = test::AllRuns(with_moves);
-  const std::vector<test::DigestResult> results = test::PlayAll(runs, threads);
-  for (size_t i = 0; i < runs.size(); ++i) test::Print(runs[i], results[i]);
+  const std::vector<test::DigestRun> runs = test::MakeRuns(with_moves);
+  const std::vector<test::DigestResult> results =
+      test::ExecuteRuns(runs, threads);
+  for (size_t i = 0; i < runs.size(); ++i)
+    test::PrintResult(runs[i], results[i]);
   test::PrintTotal(results);
   return 0;
 }
--- a/tests/scale_measurement.cc
+++ b/tests/scale_measurement.cc
@@ -1,7 +1,7 @@
-// Measures what a leader's work costs at fleets of several sizes: processor
-// time for each heartbeat, and for the costliest input, while the fleet starts,
-// runs, and is taken over. Prints a table; no part of the tests, since the
-// times depend on the processor.
+// Measures the CPU time of a leader for fleets of several sizes: the mean per
+// heartbeat and the maximum per input, while the fleet starts, runs and goes
+// through a failover. Prints a table. Not part of the tests, since the times
+// depend on the processor.
 //
 // Usage: sorrelwood_scale_measurement [MACHINES...]
 #include <cstdio>
@@ -15,7 +15,7 @@
 constexpr int kMachinesAtScaleOne = 1500;
 constexpr int kJobsAtScaleOne = 120;
 
-SimulationOptions FleetThroughTakeover(double scale) {
+SimulationOptions MakeFailoverOptions(double scale) {
   SimulationOptions options;
   options.large_fleet = true;
   options.fleet_scale = scale;
@@ -32,7 +32,7 @@
 // Prints one line of the table.
 void Measure(int machines) {
   const double scale = static_cast<double>(machines) / kMachinesAtScaleOne;
-  SimulatedCluster cluster(FleetThroughTakeover(scale));
+  SimulatedCluster cluster(MakeFailoverOptions(scale));
   cluster.Run();
   const LeaderCost& cost = cluster.statistics().leader_cost;
   std::printf("%8d %8d %9llu %12.1f %10.2f\n", machines,
--- a/tests/simulation_test.cc
+++ b/tests/simulation_test.cc
@@ -1,5 +1,5 @@
-// Seeded runs of the simulated cluster: after every step each invariant is
-// checked (simulation/invariants/).
+// Tests seeded runs of the simulated cluster, which checks each invariant
+// (simulation/invariants/) after every step.
 #include <gtest/gtest.h>
 
 #include <cstdio>
@@ -14,23 +14,26 @@
 namespace sorrelwood::test {
 namespace {
 
-std::optional<uint64_t> EnvironmentNumber(const char* name) {
+std::optional<uint64_t> ReadEnvironmentNumber(const char* name) {
   const char* text = std::getenv(name);
   if (!text) return std::nullopt;
   return std::strtoull(text, nullptr, 10);
 }
 
-// The seeds to play, some 30 ms each. SORRELWOOD_SEEDS asks for so many of each
-// scenario, SORRELWOOD_SEED for this one alone.
-std::vector<uint64_t> Seeds(uint64_t usual) {
-  if (const auto only = EnvironmentNumber("SORRELWOOD_SEED")) return {*only};
+// Returns the seeds to run; a run takes about 30 ms. SORRELWOOD_SEEDS sets the
+// number of seeds per scenario, SORRELWOOD_SEED selects a single seed.
+std::vector<uint64_t> SelectSeeds(uint64_t default_count) {
+  if (const auto only = ReadEnvironmentNumber("SORRELWOOD_SEED"))
+    return {*only};
   std::vector<uint64_t> seeds;
-  const uint64_t count = EnvironmentNumber("SORRELWOOD_SEEDS").value_or(usual);
+  const uint64_t count =
+      ReadEnvironmentNumber("SORRELWOOD_SEEDS").value_or(default_count);
   for (uint64_t seed = 1; seed <= count; ++seed) seeds.push_back(seed);
   return seeds;
 }
 
-// For the output of a failure: what was played, and how to play it again.
+// Describes a run in the output of a failure: scenario, seed and the command to
+// repeat it.
 std::string DescribeRun(const std::string& scenario, uint64_t seed,
                         const std::string& guards_against) {
   const ::testing::TestInfo& test =
@@ -42,7 +45,7 @@
          test.test_suite_name() + "." + test.name() + "'";
 }
 
-// The same for a test that plays its own options.
+// Describes a run of a test that sets its own options.
 std::string DescribeRun(const SimulationOptions& options) {
   const ::testing::TestInfo& test =
       *::testing::UnitTest::GetInstance()->current_test_info();
@@ -58,16 +61,16 @@
   return text;
 }
 
-int SubmittedJobs(const SimulationOptions& options) {
+int CountSubmittedJobs(const SimulationOptions& options) {
   constexpr int kBestEffortJobs = 61;
-  constexpr double kSingleTaskJobsForS = 120;
+  constexpr double kSingleTaskJobsDurationS = 120;
   return options.jobs + (options.best_effort_team ? kBestEffortJobs : 0) +
          static_cast<int>(options.single_task_jobs_per_s *
-                          kSingleTaskJobsForS) +
+                          kSingleTaskJobsDurationS) +
          options.services + (options.long_array ? 1 : 0);
 }
 
-std::string ScenarioName(const ::testing::TestParamInfo<int>& test) {
+std::string GetScenarioName(const ::testing::TestParamInfo<int>& test) {
   return AllScenarios()[static_cast<size_t>(test.param)].name;
 }
 
@@ -75,7 +78,7 @@
 
 TEST_P(FaultScenarios, KeepEveryInvariant) {
   const Scenario scenario = AllScenarios()[static_cast<size_t>(GetParam())];
-  for (const uint64_t seed : Seeds(scenario.seeds)) {
+  for (const uint64_t seed : SelectSeeds(scenario.seeds)) {
     SCOPED_TRACE(DescribeRun(scenario.name, seed, scenario.guards_against));
     SimulationOptions options = scenario.options;
     options.seed = seed;
@@ -85,7 +88,7 @@
         << JoinLines(cluster.violations());
     const SimulationStatistics& statistics = cluster.statistics();
     EXPECT_GT(statistics.tasks_started, 20);
-    const int jobs = SubmittedJobs(options);
+    const int jobs = CountSubmittedJobs(options);
     EXPECT_EQ(statistics.jobs_accepted, jobs);
     EXPECT_LE(statistics.healthy_machines_released, 1);
     const int ended = statistics.jobs_done + statistics.jobs_cancelled;
@@ -99,15 +102,16 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Seeded, FaultScenarios,
-    ::testing::Range(0, static_cast<int>(AllScenarios().size())), ScenarioName);
+    ::testing::Range(0, static_cast<int>(AllScenarios().size())),
+    GetScenarioName);
 
-// The same faults while the rebalancer moves running tasks.
+// Runs the same faults while the rebalancer moves running tasks.
 class FaultScenariosWithRebalancing : public ::testing::TestWithParam<int> {};
 
 TEST_P(FaultScenariosWithRebalancing, KeepEveryInvariant) {
   const Scenario scenario = AllScenarios()[static_cast<size_t>(GetParam())];
   uint64_t moves = 0;
-  for (const uint64_t seed : Seeds(4)) {
+  for (const uint64_t seed : SelectSeeds(4)) {
     SCOPED_TRACE(DescribeRun(scenario.name, seed, scenario.guards_against));
     SimulationOptions options = WithRebalancing(scenario.options);
     options.seed = seed;
@@ -123,9 +127,10 @@
 
 INSTANTIATE_TEST_SUITE_P(
     Seeded, FaultScenariosWithRebalancing,
-    ::testing::Range(0, static_cast<int>(AllScenarios().size())), ScenarioName);
+    ::testing::Range(0, static_cast<int>(AllScenarios().size())),
+    GetScenarioName);
 
-// A failure that can't be repeated from its seed can't be understood.
+// A failure can be diagnosed only if its seed repeats the run.
 TEST(SimulatedCluster, RepeatsARunFromItsSeed) {
   const SimulationOptions options = OptionsWithFaults(
       {{.at_s = 50, .kind = FaultKind::kLeaderCrash, .restart_s = 3}}, 0.02);
@@ -139,8 +144,8 @@
   EXPECT_EQ(first.digest(), second.digest());
 }
 
-// Guards against a service that exits everywhere taking all of the leader's
-// work, and against its machines being released as faulty.
+// Guards against a service whose replicas exit everywhere: it must not use up
+// the leader's work, nor have its machines released as faulty.
 TEST(CrashLoopingService, IsRestartedAtAFallingRate) {
   SimulationOptions options = OptionsWithFaults({});
   options.services = 3;
@@ -155,8 +160,8 @@
   EXPECT_EQ(cluster.statistics().healthy_machines_released, 0);
 }
 
-// Guards against progress that can't be stored any more because one value of it
-// outgrows the smaller limit.
+// Guards against progress that can no longer be stored because one of its
+// values exceeds the lowered limit.
 TEST(StateServiceLimits, ProgressIsSplitWhenTheyDrop) {
   SimulationOptions options = OptionsWithFaults({});
   options.controllers = 5;
@@ -173,10 +178,10 @@
   EXPECT_TRUE(cluster.state_service().HasSplitProgress());
 }
 
-// Prints a digest of all actions over several seeded runs. A change that is
-// meant to keep behaviour leaves it as it was: compare before and after.
+// Prints a digest of all actions over several seeded runs. A change that keeps
+// behaviour does not change it.
 TEST(SimulatedCluster, PrintsADigestOfAllActions) {
-  uint64_t all = 0;
+  uint64_t total_digest = 0;
   for (uint64_t seed = 1; seed <= 4; ++seed) {
     SimulationOptions options = OptionsWithFaults(
         {{.at_s = 40, .kind = FaultKind::kMachinePartition, .for_s = 40},
@@ -189,15 +194,15 @@
     SimulatedCluster cluster(options);
     cluster.Run();
     EXPECT_NE(cluster.digest(), ActionDigest().value());
-    all = all * 31 + cluster.digest();
+    total_digest = total_digest * 31 + cluster.digest();
   }
   std::printf("digest of all actions: %016llx\n",
-              static_cast<unsigned long long>(all));
+              static_cast<unsigned long long>(total_digest));
 }
 
-// Guards against clients being sent to a controller that can't serve them, and
-// against all controllers sending them away in an outage: a controller is
-// unhealthy only while the state service refuses it alone.
+// Guards against clients routed to a controller that can't serve them, and
+// against all controllers reporting unhealthy in an outage: a controller is
+// unhealthy only while the state service refuses this controller alone.
 TEST(ControllerHealth, IsLostOnlyWhenTheStateServiceRefusesOneController) {
   const auto unhealthy_ticks = [](FaultKind kind) {
     SimulationOptions options =
@@ -209,13 +214,14 @@
   };
   EXPECT_GT(unhealthy_ticks(FaultKind::kStateServiceRefusesLeader), 50);
   EXPECT_EQ(unhealthy_ticks(FaultKind::kStateServiceOutage), 0);
-  // Its peers' messages may be back a moment before the state service is.
+  // Messages of its peers may arrive again shortly before the state service
+  // answers.
   EXPECT_LE(unhealthy_ticks(FaultKind::kLeaderWithoutStateAndPeers), 5);
   EXPECT_EQ(unhealthy_ticks(FaultKind::kStateServiceSlow), 0);
 }
 
-// Guards against what only large numbers show: a mass loss of machines, all
-// controllers down, and restarts one after the other.
+// Guards against faults that only large fleets show: a mass loss of machines, a
+// crash of all controllers, then repeated restarts.
 TEST(LargeFleet, KeepsEveryInvariantThroughMassLossAndRestarts) {
   SimulationOptions options;
   options.large_fleet = true;
@@ -239,8 +245,8 @@
   EXPECT_EQ(cluster.statistics().jobs_accepted, options.jobs);
 }
 
-// Guards against work that 4,500 machines lose in a takeover, or while two
-// zones that come back within their leases are cut off.
+// Guards against lost work on 4,500 machines in failovers, and in a partition
+// of zones that ends within the leases.
 TEST(LargeFleet, Of4500MachinesFinishesAllJobs) {
   SimulationOptions options;
   options.large_fleet = true;
@@ -266,7 +272,7 @@
       << cluster.clients().DescribeUnfinished();
 }
 
-// Guards against machines that are paid for without work.
+// Guards against paying for idle machines.
 TEST(Autoscaling, ReleasesIdleMachines) {
   SimulationOptions options;
   options.jobs = 6;
@@ -277,7 +283,7 @@
   cluster.Run();
   EXPECT_EQ(
       cluster.statistics().jobs_done + cluster.statistics().jobs_cancelled, 6);
-  // What is left is the baseline, which has shrunk with the load.
+  // Only the baseline remains, which has shrunk with the load.
   EXPECT_LE(cluster.workers().remaining(), 2u);
 }
 
--- a/tests/spread_measurement.cc
+++ b/tests/spread_measurement.cc
@@ -1,6 +1,7 @@
-// Compares load spread on and off on pairs of seeds: a burst of one team on a
-// fleet of some 300 machines, and the same fleet without it. Prints a table; no
-// part of the tests, since the times depend on the processor.
+// Compares runs with load spread enabled and disabled for the same seeds: a
+// burst of one team on a fleet of about 300 machines, and the same fleet
+// without the burst. Prints a table. Not part of the tests, since the times
+// depend on the processor.
 //
 // Usage: sorrelwood_spread_measurement [SEEDS]
 #include <cstdio>
@@ -13,10 +14,10 @@
 
 constexpr double kBurstEndsS = 90;
 
-// What of load spread is on.
+// Features of load spread that are enabled.
 enum class Mode { kOff, kPlacement, kMoves };
 
-SimulationOptions Options(uint64_t seed, bool burst, Mode mode) {
+SimulationOptions MakeOptions(uint64_t seed, bool burst, Mode mode) {
   SimulationOptions options;
   options.seed = seed;
   options.large_fleet = true;
@@ -33,14 +34,14 @@
   }
   SpreadSettings& spread = options.policy.spread;
   spread.placement = mode != Mode::kOff;
-  spread.moves = true;  // so that the imbalance is measured
+  spread.moves = true;  // required for the imbalance to be measured
   if (mode != Mode::kMoves) spread.moves_per_minute = 0;
   return options;
 }
 
 // Prints one line of the table.
 void Measure(uint64_t seed, bool burst, Mode mode) {
-  SimulatedCluster cluster(Options(seed, burst, mode));
+  SimulatedCluster cluster(MakeOptions(seed, burst, mode));
   cluster.Run();
   const char* mode_names[] = {"off", "placement", "moves"};
   const SimulationStatistics& measured = cluster.statistics();
