--- a/tests/runbook_test.cc
+++ b/tests/runbook_test.cc
@@ -1,4 +1,4 @@
-// Compares the log lines in the code with those that the runbook explains.
+// Compares the log messages in the code with those in the runbook.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,13 +17,13 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Adjacent literals in the code are one text.
+// Joins adjacent string literals, which are one text.
 std::string JoinLiterals(const std::string& code) {
   return std::regex_replace(code, std::regex("\"\\s*\""), "");
 }
 
-// The messages of info and error events that `code` logs.
-std::set<std::string> LoggedMessages(const std::string& code) {
+// Returns the messages of the info and error events that `code` logs.
+std::set<std::string> FindLoggedMessages(const std::string& code) {
   static const std::regex kCall(
       "(?:->|\\.|::)(?:Info|Error|info|error)\\(\\s*"
       "(?:[a-z_]+ \\? )?\"([^\"]+)\"(?:\\s*:\\s*\"([^\"]+)\")?");
@@ -33,24 +33,24 @@
     for (size_t group = 1; group < call->size(); ++group)
       if ((*call)[group].matched) messages.insert((*call)[group]);
   }
-  messages.erase("{}");  // a line whose text is made elsewhere
+  messages.erase("{}");  // the text of this line is composed elsewhere
   return messages;
 }
 
-std::set<std::string> MessagesOfTheCode() {
+std::set<std::string> ReadMessagesOfCode() {
   std::set<std::string> messages;
   const std::filesystem::path sources =
       std::filesystem::path(SORRELWOOD_SOURCE_DIR) / "src";
   for (const auto& entry :
        std::filesystem::recursive_directory_iterator(sources)) {
     if (entry.path().extension() != ".cc") continue;
-    messages.merge(LoggedMessages(JoinLiterals(ReadFile(entry.path()))));
+    messages.merge(FindLoggedMessages(JoinLiterals(ReadFile(entry.path()))));
   }
   return messages;
 }
 
-// The first column of the table under "Log lines".
-std::set<std::string> MessagesOfTheRunbook() {
+// Returns the first column of the table in the section "Log lines".
+std::set<std::string> ReadMessagesOfRunbook() {
   const std::string page = ReadFile(
       std::filesystem::path(SORRELWOOD_SOURCE_DIR) / "docs" / "operations.md");
   const size_t begin = page.find("## Log lines");
@@ -74,16 +74,18 @@
 }
 
 TEST(Runbook, ExplainsEveryInfoAndErrorLine) {
-  const std::set<std::string> logged = MessagesOfTheCode();
+  const std::set<std::string> logged = ReadMessagesOfCode();
   ASSERT_GT(logged.size(), 10u);
-  EXPECT_EQ(Difference(logged, MessagesOfTheRunbook()), std::set<std::string>())
+  EXPECT_EQ(Difference(logged, ReadMessagesOfRunbook()),
+            std::set<std::string>())
       << "logged, but not in docs/operations.md, \"Log lines\"";
 }
 
 TEST(Runbook, NamesNoLineThatIsNotLogged) {
-  const std::set<std::string> explained = MessagesOfTheRunbook();
+  const std::set<std::string> explained = ReadMessagesOfRunbook();
   ASSERT_GT(explained.size(), 10u);
-  EXPECT_EQ(Difference(explained, MessagesOfTheCode()), std::set<std::string>())
+  EXPECT_EQ(Difference(explained, ReadMessagesOfCode()),
+            std::set<std::string>())
       << "in docs/operations.md, \"Log lines\", but not logged";
 }
 
--- a/tests/stored_forms_test.cc
+++ b/tests/stored_forms_test.cc
@@ -1,5 +1,6 @@
-// The bytes of every stored record and peer message, as the version named in
-// deploy/service.toml writes them. Both versions must write and read these.
+// Tests that every stored record and peer message keeps the bytes that the
+// version named in deploy/service.toml writes. Both versions must write and
+// read these bytes.
 #include <gtest/gtest.h>
 
 #include <string>
