--- a/tests/scale_measurement.cc
+++ b/tests/scale_measurement.cc
@@ -35,7 +35,7 @@
   SimulatedCluster cluster(MakeFailoverOptions(scale));
   cluster.Run();
   const LeaderCost& cost = cluster.statistics().leader_cost;
-  std::printf("%8d %8d %9llu %12.1f %10.2f\n", machines,
+  std::printf("%8d %11d %10llu %18.1f %8.2f\n", machines,
               cluster.cloud().machines_provisioned(),
               static_cast<unsigned long long>(cost.heartbeats),
               cost.SecondsPerHeartbeat() * 1e6, cost.max_s * 1e3);
@@ -45,7 +45,7 @@
 }  // namespace sorrelwood::test
 
 int main(int argc, char** argv) {
-  std::printf("machines   rented   reports us/report(mean)  peak ms\n");
+  std::printf("machines provisioned heartbeats us/heartbeat(mean)   max ms\n");
   if (argc < 2) {
     for (const int machines : {500, 1500, 4500})
       sorrelwood::test::Measure(machines);
--- a/tests/spread_measurement.cc
+++ b/tests/spread_measurement.cc
@@ -66,8 +66,8 @@
   using sorrelwood::test::Mode;
   const uint64_t seeds = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 4;
   std::printf(
-      "day    seed mode       imbalance:60-90  150-210  uneven_until moves "
-      "done job_s machine_s us/report broken\n");
+      "load   seed mode       imbalance:60-90  150-210  unbalanced_until_s "
+      "moves done job_s machine_s us/heartbeat violations\n");
   for (const bool burst : {true, false})
     for (uint64_t seed = 1; seed <= seeds; ++seed)
       for (const Mode mode : {Mode::kOff, Mode::kPlacement, Mode::kMoves})
