--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -27,7 +27,8 @@
 
 // A service-level objective, set by the operators.
 struct Objective {
-  // "deadline", "wait" or "finished"; other kinds have no effect.
+  // "deadline", "wait" or "finished"; other kinds, such as "guarantee", have no
+  // effect.
   std::string kind;
   // Class of the jobs it applies to. Empty: it applies to no job.
   std::string job_class;
